--- a/harepick/net/servers.py
+++ b/harepick/net/servers.py
@@ -1,7 +1,7 @@
 """The core's port towards the setup servers: hands every order to the link of its server.
 
 Owns which links there are. It decides nothing: whether a set-up may still leave is asked of the core right
-before its bytes go, in `line.py`.
+before its bytes go, in `server_connection.py`.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from harepick import interface as i
 from harepick.core.inbox import Inbox
-from harepick.core.words import Attempt
+from harepick.core.messages import Attempt
 from harepick.counters import Counters
 from harepick.directory import Directory
 from harepick.log import Log
-from harepick.net.link import Link
+from harepick.net.connection_pool import ConnectionPool
 
 
 class Servers:
@@ -36,7 +36,7 @@
         self.connect_timeout = connect_timeout
         self.idle_close = idle_close
         self._most_lines = most_lines
-        self._links: dict[str, Link] = {}
+        self._links: dict[str, ConnectionPool] = {}
         self._tasks: TaskGroup | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
@@ -78,12 +78,12 @@
                 if link.retired:
                     del self._links[row.server]
 
-    def _link(self, server: str) -> Link | None:
+    def _link(self, server: str) -> ConnectionPool | None:
         if link := self._links.get(server):
             return link
         row = self.directory.get(server)
         if row is None or row.entry.state == "gone" or self._tasks is None:
             return None
-        link = self._links[server] = Link(self, self._tasks, server, row.address)
+        link = self._links[server] = ConnectionPool(self, self._tasks, server, row.address)
         self._tasks.start_soon(link.watch)
         return link
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -13,16 +13,16 @@
 
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
-from harepick.core.words import Retune
+from harepick.core.messages import ReplaceSettings
 from harepick.counters import Counters
 from harepick.directory import Directory, DirectoryError
 from harepick.interface import Settings
-from harepick.lifecycle import finish
+from harepick.lifecycle import wait_until
 from harepick.log import Log
 from harepick.net.bus import Bus
-from harepick.net.callers import ENTERING, SETTLE, Callers
+from harepick.net.callers import HANDSHAKE_SETTLE_S, MAX_ENTERING, Callers
 from harepick.net.servers import Servers
-from harepick.settings import Platform, SettingsError, read_platform
+from harepick.settings import PlatformSettings, SettingsError, read_platform
 
 if TYPE_CHECKING:
     from harepick.gapping.screen import GapScreen
@@ -35,7 +35,7 @@
 FLUSH = 0.2
 # Descriptors of the program itself: log, loop, listeners, bus, a file that is read again, and connections
 # that have been accepted and not yet counted.
-OWN = 12 + ENTERING
+OWN = 12 + MAX_ENTERING
 RECEIVE = 32 * 1024  # bytes in a caller connection's receive buffer, twice a message at its longest
 
 
@@ -56,7 +56,9 @@
 
 
 class PlatformFront:
-    def __init__(self, config: Platform, environ: Mapping[str, str], counters: Counters, log: Log) -> None:
+    def __init__(
+        self, config: PlatformSettings, environ: Mapping[str, str], counters: Counters, log: Log
+    ) -> None:
         self._config, self._environ, self._counters, self._log = config, environ, counters, log
         self._directory = Directory()
         self._bus: Bus | None = None
@@ -100,7 +102,7 @@
         )
         if retuned and self._inbox is not None and self._callers is not None and self._servers is not None:
             self._callers.retune(config.settings.classes)
-            self._inbox.tell(Retune(config.settings, config.open_cap))
+            self._inbox.tell(ReplaceSettings(config.settings, config.open_cap))
             self._servers.connect_timeout = config.settings.connect_timeout
             self._servers.idle_close = config.idle_close
             self._longest = min(self._longest, _longest(config.settings))
@@ -111,7 +113,7 @@
         start = self._config  # `known` and `seed` are of a start, and new with each
         waiting = [
             key.name
-            for key in fields(Platform)
+            for key in fields(PlatformSettings)
             if key.name not in ("bus", "known", "seed")
             and getattr(config, key.name) != getattr(start, key.name)
         ]
@@ -119,7 +121,7 @@
         classes = [c.name for c in self._config.settings.classes]
         self._log.event("reloaded", retuned=retuned, classes=classes, waiting_for_restart=waiting)
 
-    def _screen_gaps(self, config: Platform) -> None:
+    def _screen_gaps(self, config: PlatformSettings) -> None:
         """Sets, changes and lifts gaps as `config` says; the package is loaded once there are any.
 
         Raises `SettingsError` naming the gap and key, and then changes nothing."""
@@ -225,12 +227,14 @@
         hold = min(LONGEST_HOLD, self._longest) + KILL_AFTER + FLUSH  # a reload may have come with the signal
         # A set-up is taken with its connection: it may still come, or its rest. What the listener took last
         # is there a moment after the close.
-        await finish(lambda: engine.idle and not callers.hearing, grace() - coming, 2 * SETTLE)
+        await wait_until(
+            lambda: engine.idle and not callers.hearing, grace() - coming, 2 * HANDSHAKE_SETTLE_S
+        )
         engine.give_up()
         self._log.event("drained", standing=len(engine), after=round(time.monotonic() - began, 3))
-        await finish(lambda: engine.idle and not callers.unwritten, hold - (time.monotonic() - began))
+        await wait_until(lambda: engine.idle and not callers.unwritten, hold - (time.monotonic() - began))
         engine.release_all()
-        await finish(lambda: not callers.unwritten and not servers.unwritten, FLUSH, 0.02)
+        await wait_until(lambda: not callers.unwritten and not servers.unwritten, FLUSH, 0.02)
 
 
 def _longest(settings: Settings) -> float:
--- a/harepick/ops/listener.py
+++ b/harepick/ops/listener.py
@@ -24,7 +24,7 @@
 from harepick.ops.exposition import Status, exposition
 from harepick.settings import Address
 
-MOST_CONNECTIONS = 64  # callers that may wait for their answer at once; scrapers come every second or two
+MAX_CONNECTIONS = 64  # callers that may wait for their answer at once; scrapers come every second or two
 HEAD_LIMIT = 8 * 1024  # bytes of a request's head; a request here has no body
 READ_WITHIN = 2.0  # from the acceptance to the whole request: callers wait 1 s for their answer
 WRITE_WITHIN = 1.0  # to hand over the answer, a few kilobytes at most
@@ -57,7 +57,7 @@
         counters: Counters,
         log: Log,
         pages: Mapping[str, Callable[[], Any]] | None = None,
-        most: int = MOST_CONNECTIONS,
+        most: int = MAX_CONNECTIONS,
     ) -> None:
         """`pages`: other paths, each with what its JSON is made of at the moment of the call. `most`: how
         many connections, and so descriptors, may be open at once."""
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformSettings:
     """What the platform tells a border controller at its start."""
 
     name: str
@@ -53,7 +53,7 @@
     idle_close: float
     settings: i.Settings
     ops: Address | None = None  # where the `ops` listener takes operators' calls; none if not set
-    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.Row`s; the package is loaded only if there are any
+    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s; the package is loaded only with some
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Enum:
+class EnumSettings:
     """The ENUM front as an operator's file sets it up."""
 
     listen: Address
@@ -89,12 +89,12 @@
     upstreams: tuple[Upstream, ...]
     settings: i.Settings
     routes: tuple[Route, ...] = ()
-    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.Row`s of `[[gap]]`
-    maintenance: Any = None  # `harepick.fleet.maintenance.rule.Plan`; None: the defaults of one
-    limits: tuple[Any, ...] = ()  # `harepick.fleet.limits.purse.Limit`s of `[[limit]]`
-    verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictPlan`; None: the defaults of one
-    membership: Any = None  # `harepick.fleet.membership.rule.Plan`; None: nobody is dropped
-    autogap: Any = None  # `harepick.gapping.auto.AutoPlan`; None: no gap sets itself
+    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s of `[[gap]]`
+    maintenance: Any = None  # `harepick.fleet.maintenance.policy.MaintenanceSettings`; None: its defaults
+    limits: tuple[Any, ...] = ()  # `harepick.fleet.limits.limit_buckets.Limit`s of `[[limit]]`
+    verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictSettings`; None: the defaults of one
+    membership: Any = None  # `harepick.fleet.membership.policy.MembershipSettings`; None: nobody is dropped
+    autogap: Any = None  # `harepick.gapping.auto_gaps.AutoGapSettings`; None: no gap sets itself
 
 
 def _number(table: Mapping[str, Any], path: str, low: float, default: float | None = None) -> float:
@@ -132,7 +132,7 @@
     return value
 
 
-def address(text: Any, key: str) -> Address:
+def parse_address(text: Any, key: str) -> Address:
     """`host:port`, the host a numeric address; the error names the key."""
     host, _, port = str(text).rpartition(":")
     host = host.strip("[]")
@@ -234,7 +234,7 @@
 # The platform's variables and its JSON
 
 
-def read_platform(environ: Mapping[str, str]) -> Platform:
+def read_platform(environ: Mapping[str, str]) -> PlatformSettings:
     """What GW_CONFIG, GW_NAME and GW_LISTEN say; the variables go before the file."""
     path = environ.get("GW_CONFIG")
     if not path:
@@ -261,10 +261,10 @@
         raise SettingsError(f"setting seed is no hexadecimal number: {seed!r}") from None
     try:
         module = read_settings(settings)
-        return Platform(
+        return PlatformSettings(
             name=environ.get("GW_NAME") or _text(config, "name"),
-            listen=address(environ.get("GW_LISTEN") or _text(config, "listen"), "listen"),
-            bus=address(_text(config, "bus"), "bus"),
+            listen=parse_address(environ.get("GW_LISTEN") or _text(config, "listen"), "listen"),
+            bus=parse_address(_text(config, "bus"), "bus"),
             known=known,
             seed=seed_number,
             sockets=int(_number(config, "limits.sockets", 32, DEFAULT_SOCKETS)),
@@ -308,7 +308,7 @@
         return None
     if isinstance(text, str) and text.startswith(":"):
         text = listen.rpartition(":")[0] + text
-    where = address(text, "ops")
+    where = parse_address(text, "ops")
     if ":" in where.host:
         raise SettingsError(f"setting ops is no IPv4 address: {text!r}")
     return where
@@ -325,9 +325,14 @@
     "upstream": {"name", "address", "draining"},
     "route": {"prefix", "upstreams"},
 }
-OWN_KEYS = {"listen", "seed", "tcp_clients", "tcp_idle_s"}  # of [enum]: each instance's own, not the store's
-MOST_UPSTREAMS = 16
-MOST_ROUTES = 1_000
+INSTANCE_KEYS = {
+    "listen",
+    "seed",
+    "tcp_clients",
+    "tcp_idle_s",
+}  # of [enum]: each instance's own, not the store's
+MAX_UPSTREAMS = 16
+MAX_ROUTES = 1_000
 PREFIX = re.compile(r"\+[0-9]{1,15}$")
 LABEL = re.compile(r"[0-9A-Za-z_]([0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?$")
 
@@ -342,7 +347,7 @@
         raise SettingsError(f"file {path} is not TOML: {error}") from None
 
 
-def read_operator(path: str) -> Enum:
+def read_operator_file(path: str) -> EnumSettings:
     """The ENUM front as a TOML file sets it up; raises `SettingsError` naming the faulty key."""
     table = read_toml(path)
     table.pop("store", None)  # `harepick.store.settings` reads it, where it is installed
@@ -362,7 +367,7 @@
         raise SettingsError(f"the configuration is not TOML: {error}") from None
 
 
-def read_shared(text: str, own: Mapping[str, Any] | None = None) -> Enum:
+def read_store_config(text: str, own: Mapping[str, Any] | None = None) -> EnumSettings:
     """A configuration of the replicated store, with an instance's `own` keys of [enum] beside it.
 
     Raises `SettingsError` naming the faulty key, also for a key that is an instance's own."""
@@ -370,12 +375,12 @@
     if "store" in table:
         raise SettingsError("setting store belongs in the instance's own file")
     front = _table(table, "enum")
-    for key in sorted(OWN_KEYS & front.keys()):
+    for key in sorted(INSTANCE_KEYS & front.keys()):
         raise SettingsError(f"setting enum.{key} belongs in the instance's own file")
     return read_enum({**table, "enum": {**front, **(own or {})}})
 
 
-def read_enum(table: Mapping[str, Any]) -> Enum:
+def read_enum(table: Mapping[str, Any]) -> EnumSettings:
     """The ENUM front as a table sets it up; raises `SettingsError` naming the faulty key."""
     for section, value in table.items():
         if section in ("gap", *FLEET):  # their readers name the keys they know
@@ -417,9 +422,9 @@
         max_advice=_number(table, "rules.stay_away_ms", 0, 2000) / 1000.0,
     )
     seed = _number(table, "enum.seed", 0, -1)
-    listen = address(_text(front, "listen", "127.0.0.1:5353"), "enum.listen")
+    listen = parse_address(_text(front, "listen", "127.0.0.1:5353"), "enum.listen")
     upstreams = _upstreams(table.get("upstream"))
-    return Enum(
+    return EnumSettings(
         listen=listen,
         suffix=_suffix(_text(front, "suffix", "e164.arpa.")),
         call_class=name,
@@ -496,12 +501,12 @@
 def _upstreams(rows: Any) -> tuple[Upstream, ...]:
     if not isinstance(rows, list) or not rows:
         raise SettingsError("setting upstream is missing")
-    if len(rows) > MOST_UPSTREAMS:
-        raise SettingsError(f"setting upstream has over {MOST_UPSTREAMS} rows")
+    if len(rows) > MAX_UPSTREAMS:
+        raise SettingsError(f"setting upstream has over {MAX_UPSTREAMS} rows")
     upstreams: list[Upstream] = []
     for n, row in enumerate(rows):
         try:
-            where = address(_text(row, "address"), "address")
+            where = parse_address(_text(row, "address"), "address")
             draining = row.get("draining", False)
             if not isinstance(draining, bool):
                 raise SettingsError(f"setting draining makes no sense: {draining!r}")
@@ -517,8 +522,8 @@
 def _routes(rows: Any, known: set[str]) -> tuple[Route, ...]:
     if not isinstance(rows, list):
         raise SettingsError(f"setting route makes no sense: {rows!r}")
-    if len(rows) > MOST_ROUTES:
-        raise SettingsError(f"setting route has over {MOST_ROUTES} rows")
+    if len(rows) > MAX_ROUTES:
+        raise SettingsError(f"setting route has over {MAX_ROUTES} rows")
     routes: dict[str, Route] = {}
     for n, row in enumerate(rows):
         prefix, upstreams = row.get("prefix"), row.get("upstreams")
--- a/harepick/store/client.py
+++ b/harepick/store/client.py
@@ -13,10 +13,10 @@
 import anyio
 from anyio.abc import ByteStream
 
-from harepick.settings import Address, address
+from harepick.settings import Address, parse_address
 from harepick.store import wire
-from harepick.store.transport import opening
-from harepick.store.wire import LOST, Frames, Hello, Request, Response, WireError
+from harepick.store.transport import open_stream
+from harepick.store.wire import CONNECTION_ERRORS, Frames, Hello, Request, Response, WireError
 
 TRY = 1.5  # seconds for one replica to welcome us
 # Seconds for one replica to answer what may be repeated. A leader that hangs keeps its connections open and
@@ -47,7 +47,7 @@
         welcome = wire.welcomes.read(await self.frames.next())
         if welcome.error:
             raise StoreError("turned_away", f"{welcome.replica}: {welcome.error}")
-        self.frames.most = wire.MOST_FRAME
+        self.frames.most = wire.MAX_FRAME
 
     async def ask(self, method: str, arguments: dict[str, Any]) -> int:
         self._last += 1
@@ -93,7 +93,7 @@
             return self._line
         await self.close()
         with anyio.fail_after(TRY):
-            line = _Line(await opening(where))
+            line = _Line(await open_stream(where))
             try:
                 await line.hello(self._cluster)
             except BaseException:
@@ -128,7 +128,7 @@
                     wait = max(0.05, min(0.9 * most, 55.0))
                     number = await line.ask(method, sent | {"wait": wait})
                     response = await line.hear(number)
-            except LOST as error:
+            except CONNECTION_ERRORS as error:
                 await self.close()
                 if once and asked:
                     raise StoreError(
@@ -143,7 +143,7 @@
                 if response.error not in AGAIN or (once and response.error in ("lost", "unavailable")):
                     raise last
                 if response.leader:
-                    hints.append(address(response.leader, "leader"))
+                    hints.append(parse_address(response.leader, "leader"))
                     if tried < 20:
                         tried += 1
                         if tried % 4:
@@ -168,7 +168,7 @@
                     if "revision" in response.result and response.result["revision"] > after:
                         after = response.result["revision"]
                         yield response.result
-            except LOST:
+            except CONNECTION_ERRORS:
                 tried += 1
                 await self.close()
                 await anyio.sleep(PAUSE)
--- a/harepick/store/disk/storage.py
+++ b/harepick/store/disk/storage.py
@@ -28,7 +28,7 @@
     "<8sIIQ"
 )  # magic, crc32c of the rest, length of the meta, length of the packed data
 LEVEL = 3  # of zstd
-MOST_STATE = 1 << 30
+MAX_STATE = 1 << 30
 
 
 class Identity(Struct, frozen=True):
@@ -102,7 +102,7 @@
     if len(packed) != length or frames.checksum(sizes, meta, packed) != crc:
         raise StorageError(f"{name}, offset {SNAP_HEAD.size}: the snapshot is damaged")
     told = msgspec.msgpack.decode(meta, type=_Meta)
-    state = zstandard.ZstdDecompressor().decompress(packed, max_output_size=MOST_STATE)
+    state = zstandard.ZstdDecompressor().decompress(packed, max_output_size=MAX_STATE)
     return Snapshot(told.index, told.term, told.membership, state)
 
 
--- a/harepick/store/fence.py
+++ b/harepick/store/leases.py
@@ -8,15 +8,15 @@
 
 from collections.abc import Iterable
 
-LEASE = 1.5  # seconds, from the asking
-SLACK = 1.1  # the leader waits so much longer: two clocks differ by less in rate
+LEASE_S = 1.5  # seconds, from the asking
+CLOCK_RATE_MARGIN = 1.1  # the leader waits so much longer: two clocks differ by less in rate
 ASKS = 8  # questions that may be open at once
 
 
 class Lease:
     """An instance's right to act, from its question's time on, once it has applied what it was told to."""
 
-    def __init__(self, length: float = LEASE, first: int = 0) -> None:
+    def __init__(self, length: float = LEASE_S, first: int = 0) -> None:
         """`first` numbers the first question, and has to be drawn anew by each process: a grant that an
         earlier one asked for may still be on its way, and must not pass for an answer to this one's
         question."""
@@ -65,8 +65,8 @@
 class Grants:
     """What a leader has to know before it may acknowledge: who may still act on something older."""
 
-    def __init__(self, length: float = LEASE) -> None:
-        self._wait = length * SLACK
+    def __init__(self, length: float = LEASE_S) -> None:
+        self._wait = length * CLOCK_RATE_MARGIN
         self._floor = float("inf")  # not leading: nothing is acknowledged
         self._until: dict[str, float] = {}
         self._adopted: dict[str, int] = {}
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -13,34 +13,34 @@
 
 from msgspec import Struct
 
-from harepick.store.fence import LEASE, Grants, Lease
-from harepick.store.machine import (
+from harepick.store.leases import LEASE_S, Grants, Lease
+from harepick.store.raft.core import BusyError, Raft, Role, Writes
+from harepick.store.raft.messages import Entry, HardState, Kind, Message, Snapshot
+from harepick.store.state_machine import (
     Done,
     Envelope,
     FormatError,
-    Machine,
     Result,
     Revision,
+    StateMachine,
     encode,
 )
-from harepick.store.raft.core import BusyError, Raft, Role, Writes
-from harepick.store.raft.messages import Entry, HardState, Kind, Message, Snapshot
 
 RENEW = 0.27  # share of a lease after which the next is asked for
 SNAPSHOT_EVERY = 10_000  # entries, or
 SNAPSHOT_BYTES = 32 * 1024 * 1024  # of them, whichever comes first
-MOST_WAITERS = 4_096
+MAX_WAITERS = 4_096
 APPLY = 1_024  # entries at one poll
 
 
-class Ask(Struct, frozen=True, tag="q", array_like=True):
+class LeaseRequest(Struct, frozen=True, tag="q", array_like=True):
     """An instance asks the leader for its lease, and tells how far it has applied."""
 
     number: int
     applied: int
 
 
-class Grant(Struct, frozen=True, tag="g", array_like=True):
+class LeaseGrant(Struct, frozen=True, tag="g", array_like=True):
     number: int
     index: int  # to be applied before the lease counts
 
@@ -63,15 +63,15 @@
     data: bytes
 
 
-PeerMessage = Message | Ask | Grant | Adopted | Propose | Demand
+PeerMessage = Message | LeaseRequest | LeaseGrant | Adopted | Propose | Demand
 
 
-class Lost(Struct, frozen=True):
+class LeadershipLost(Struct, frozen=True):
     """Leadership went while a request waited: whether it took effect is not known. Ask again, same number."""
 
 
 Waiter = object
-Answer = Result | Lost | int  # int: the index that a confirmed read may be answered at
+Answer = Result | LeadershipLost | int  # int: the index that a confirmed read may be answered at
 
 
 @dataclass(slots=True)
@@ -103,7 +103,7 @@
 
 
 @dataclass
-class Told:
+class NodeOutput:
     """What `poll` hands to the host."""
 
     outbox: list[tuple[str, PeerMessage]] = field(default_factory=list)
@@ -120,9 +120,9 @@
         entries: Iterable[Entry],
         now: float,
         *,
-        lease: float = LEASE,
+        lease: float = LEASE_S,
         adopt: Callable[[Revision], None] = lambda revision: None,
-        follow: Callable[[Machine], None] = lambda machine: None,
+        follow: Callable[[StateMachine], None] = lambda machine: None,
         snapshot_every: int = SNAPSHOT_EVERY,
         raft: type[Raft] = Raft,
     ) -> None:
@@ -131,7 +131,7 @@
 
         Raises `FormatError` for a state of another version."""
         self.name = name
-        self.machine = Machine()
+        self.machine = StateMachine()
         if snapshot.data:
             self.machine.restore(snapshot.data)
         self.raft = raft(name, rng, hard, snapshot, entries)
@@ -178,9 +178,9 @@
         if self.stopped:
             return
         match message:
-            case Ask(number, applied):
+            case LeaseRequest(number, applied):
                 self._asked(sender, number, applied, now)
-            case Grant(number, index):
+            case LeaseGrant(number, index):
                 self.lease.granted(number, index)
             case Adopted(index):
                 self.grants.adopted(sender, index)
@@ -197,7 +197,7 @@
 
     def change(self, envelope: Envelope, waiter: Waiter) -> None:
         """Answered once it is committed, applied, and adopted by all who may act."""
-        if len(self._changes) + len(self._unacknowledged) >= MOST_WAITERS:
+        if len(self._changes) + len(self._unacknowledged) >= MAX_WAITERS:
             raise BusyError("too many changes wait")
         index, term = self.raft.propose(encode(envelope))
         self._changes[index] = _Change(term, waiter)
@@ -234,7 +234,7 @@
 
     # Outputs
 
-    def poll(self, now: float) -> Told:
+    def poll(self, now: float) -> NodeOutput:
         """After every turn of inputs, and after `written`."""
         if not self.stopped:
             self.raft.flush()
@@ -243,7 +243,7 @@
             self._apply()
             self._serve_reads()
             self._acknowledge(now)
-        told = Told(self._out + list(self.raft.outbox), self._answers)
+        told = NodeOutput(self._out + list(self.raft.outbox), self._answers)
         self._out, self._answers = [], []
         self.raft.outbox.clear()
         return told
@@ -286,7 +286,7 @@
             self.demands[self.name] = (now, self.demand)
             self._asked(self.name, self.lease.ask(now), self.machine.applied, now)
         elif leader:
-            self._out.append((leader, Ask(self.lease.ask(now), self.machine.applied)))
+            self._out.append((leader, LeaseRequest(self.lease.ask(now), self.machine.applied)))
             if self.demand or self._demanded:  # that there is none any more is told as well, once
                 self._out.append((leader, Demand(dict(self.demand))))
             self._demanded = bool(self.demand)
@@ -319,14 +319,14 @@
             self._next_ask = now
         for token in self.raft.dropped:
             if isinstance(token, _Read):
-                self._answers.append((token.waiter, Lost()))
+                self._answers.append((token.waiter, LeadershipLost()))
         self.raft.dropped.clear()
 
     def _lose_all(self) -> None:
         for change in self._changes.values():
-            self._answers.append((change.waiter, Lost()))
+            self._answers.append((change.waiter, LeadershipLost()))
         for _, waiter, _ in self._unacknowledged:
-            self._answers.append((waiter, Lost()))
+            self._answers.append((waiter, LeadershipLost()))
         self._changes.clear()
         self._unacknowledged.clear()
 
@@ -378,7 +378,7 @@
         if change is None:
             return
         if isinstance(change, _Membership) or change.term != entry.term:
-            self._answers.append((change.waiter, Lost()))
+            self._answers.append((change.waiter, LeadershipLost()))
         elif isinstance(result, Done):
             # A repeated request's result names its first entry, and that is long adopted: waiting for this
             # one costs nothing more.
@@ -416,7 +416,7 @@
                 if token.instance == self.name:
                     self.lease.granted(token.number, index)
                 else:
-                    self._out.append((token.instance, Grant(token.number, index)))
+                    self._out.append((token.instance, LeaseGrant(token.number, index)))
             elif isinstance(token, _Read):
                 self._reads.append((index, token))
         self.raft.reads.clear()
--- a/harepick/store/operators.py
+++ b/harepick/store/operator_api.py
@@ -15,24 +15,33 @@
 from anyio.to_thread import run_sync
 
 from harepick.counters import Counters
-from harepick.fleet.membership.roster import PRESENT, Mark
-from harepick.gapping.since import dated, may_need
-from harepick.settings import SettingsError, read_shared
+from harepick.fleet.membership.absences import PRESENT, SetMemberState
+from harepick.gapping.start_times import may_need_start_times, with_start_times
+from harepick.settings import SettingsError, read_store_config
 from harepick.store import wire
-from harepick.store.machine import Conflict, Done, Envelope, Put, Refused, Revision, RollBack, Shared
 from harepick.store.node import Answer
 from harepick.store.raft.core import BadChangeError, BusyError, NotLeaderError
 from harepick.store.replica import Replica, StoreUnavailableError
 from harepick.store.settings import peer_address
+from harepick.store.state_machine import (
+    Conflict,
+    Done,
+    Envelope,
+    Put,
+    Refused,
+    Revision,
+    RollBack,
+    StepApplied,
+)
 from harepick.store.wire import Frames, Request, Response
 
 WAIT = 10.0  # seconds that a request may take, if the tool names none
-MOST_WAIT = 60.0
+MAX_WAIT = 60.0
 STALL = 5.0  # seconds that a tool may leave an answer unread
 BEAT = 5.0  # seconds between two signs of life of a watch
 IDLE = 300.0
 
-Method = Callable[["Operators", dict[str, Any], float], Awaitable[Any]]
+Method = Callable[["OperatorApi", dict[str, Any], float], Awaitable[Any]]
 MoreMethod = Callable[[dict[str, Any], float], Awaitable[Any]]
 
 
@@ -77,7 +86,7 @@
     return row | {"text": revision.text} if text else row
 
 
-class Operators:
+class OperatorApi:
     """Serves the tools of one replica."""
 
     def __init__(
@@ -96,7 +105,7 @@
             if request.method == "watch":
                 await self._watch(stream, request)
                 return
-            with anyio.fail_after(STALL + MOST_WAIT):
+            with anyio.fail_after(STALL + MAX_WAIT):
                 await self._send(stream, await self._answer(request))
 
     async def _send(self, stream: ByteStream, response: Response) -> None:
@@ -108,7 +117,7 @@
         if method is None and more is None:
             return Response(request.id, error="unknown_method", text=f"no method {request.method!r}")
         wait = request.arguments.get("wait", WAIT)
-        if isinstance(wait, bool) or not isinstance(wait, int | float) or not 0 < wait <= MOST_WAIT:
+        if isinstance(wait, bool) or not isinstance(wait, int | float) or not 0 < wait <= MAX_WAIT:
             return Response(request.id, error="bad_request", text=f"argument wait makes no sense: {wait!r}")
         try:
             if method is None:
@@ -195,10 +204,10 @@
 
     async def set(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
         text = argument_text(arguments, "text")
-        read_shared(text)  # the same reader as the file's, before anything is proposed
-        if may_need(text):
+        read_store_config(text)  # the same reader as the file's, before anything is proposed
+        if may_need_start_times(text):
             latest = self._replica.node.machine.latest
-            text = await run_sync(dated, text, latest.text if latest else "", time.time())
+            text = await run_sync(with_start_times, text, latest.text if latest else "", time.time())
         body = Put(
             text,
             _optional(arguments, "expect"),
@@ -214,7 +223,7 @@
         old = self._replica.node.machine.revision(to)
         if old is None:
             raise OutcomeError("no_revision", f"revision {to} is not kept")
-        read_shared(old.text)  # this version may read differently from the one that took it
+        read_store_config(old.text)  # this version may read differently from the one that took it
         body = RollBack(
             to,
             _optional(arguments, "expect"),
@@ -240,9 +249,9 @@
             found = _result(await self._replica.remove(name, wait))
         roster = self._replica.node.machine.roster
         if roster.get(name):  # for good: it is not taken back when it returns
-            mark = Mark(name, PRESENT, roster.version, why="removed by hand")
+            mark = SetMemberState(name, PRESENT, roster.version, why="removed by hand")
             answer = await self._replica.change(Envelope("", 0, mark), wait)
-            if not isinstance(answer, Shared):
+            if not isinstance(answer, StepApplied):
                 raise OutcomeError(
                     "conflict", f"the roster changed meanwhile ({answer}): remove {name} again"
                 )
@@ -273,14 +282,14 @@
 
 
 METHODS: dict[str, Method] = {
-    "get": Operators.get,
-    "history": Operators.history,
-    "views": Operators.views,
-    "status": Operators.status,
-    "set": Operators.set,
-    "rollback": Operators.rollback,
-    "add": Operators.add,
-    "remove": Operators.remove,
-    "transfer": Operators.transfer,
-    "snapshot": Operators.snapshot,
+    "get": OperatorApi.get,
+    "history": OperatorApi.history,
+    "views": OperatorApi.views,
+    "status": OperatorApi.status,
+    "set": OperatorApi.set,
+    "rollback": OperatorApi.rollback,
+    "add": OperatorApi.add,
+    "remove": OperatorApi.remove,
+    "transfer": OperatorApi.transfer,
+    "snapshot": OperatorApi.snapshot,
 }
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -42,10 +42,10 @@
 AGAIN = 5  # ticks until a pre-vote that found no majority is asked for again, and up to as many more
 BATCH = 256 * 1024  # bytes of entries in one append
 CHUNK = 128 * 1024  # bytes of a snapshot in one message
-MOST_SNAPSHOT = 512 * 1024 * 1024
-MOST_PENDING = 4_096  # entries proposed and not yet committed
-MOST_PENDING_BYTES = 32 * 1024 * 1024
-MOST_READS = 4_096
+MAX_SNAPSHOT = 512 * 1024 * 1024
+MAX_PENDING = 4_096  # entries proposed and not yet committed
+MAX_PENDING_BYTES = 32 * 1024 * 1024
+MAX_READS = 4_096
 CAUGHT_UP = 64  # a learner with so few entries to go becomes a voter
 KEPT = 2_000  # entries kept behind a snapshot, for followers a little behind
 KEPT_BYTES = 16 * 1024 * 1024
@@ -211,7 +211,7 @@
         """Answered in `reads` once a quorum has confirmed, in a round begun after this, that we lead."""
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
-        if len(self._waiting) + len(self._new_reads) >= MOST_READS:
+        if len(self._waiting) + len(self._new_reads) >= MAX_READS:
             raise BusyError("too many reads wait")
         self._new_reads.append(token)
 
@@ -459,9 +459,9 @@
             raise NotLeaderError(self.leader)
         if self._transfer:
             raise BusyError(f"leadership goes to {self._transfer}")
-        if self.log.last_index - self.commit >= MOST_PENDING:
+        if self.log.last_index - self.commit >= MAX_PENDING:
             raise BusyError("too many entries wait to be committed")
-        if self.log.size(self.commit + 1, self.log.last_index) + len(data) > MOST_PENDING_BYTES:
+        if self.log.size(self.commit + 1, self.log.last_index) + len(data) > MAX_PENDING_BYTES:
             raise BusyError("too many bytes wait to be committed")
         entry = Entry(self.log.last_index + 1, self.term, kind, data)
         self._append([entry])
@@ -484,7 +484,7 @@
         for member in self.membership.members:
             progress = self.progress.get(member.id)
             near = progress and progress.match > 0 and progress.match + CAUGHT_UP >= self.log.last_index
-            if member.joining and near and self.log.last_index - self.commit < MOST_PENDING:
+            if member.joining and near and self.log.last_index - self.commit < MAX_PENDING:
                 self._change(self.membership.with_member(Member(member.id, member.address)))
                 return
 
@@ -661,7 +661,7 @@
             self.commit = message.index
             self._later(sender, InstallReply(self.term, message.index, 0, message.round, done=True))
             return
-        if message.total > MOST_SNAPSHOT:
+        if message.total > MAX_SNAPSHOT:
             return
         index, term, held = self._incoming
         if (index, term) != (message.index, message.last_term):
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -24,11 +24,11 @@
 from harepick.settings import SettingsError
 from harepick.store.disk.files import OsFiles, StorageError
 from harepick.store.disk.storage import Identity, Recovered, Storage, create, read_identity
-from harepick.store.machine import Envelope, FormatError, Machine, Revision
-from harepick.store.node import Answer, Lost, Node, PeerMessage
+from harepick.store.node import Answer, LeadershipLost, Node, PeerMessage
 from harepick.store.raft.core import NotLeaderError, Role, Writes
 from harepick.store.raft.messages import Membership, Snapshot
 from harepick.store.settings import StoreSettings
+from harepick.store.state_machine import Envelope, FormatError, Revision, StateMachine
 from harepick.store.transport import Transport
 
 TICK = 0.02  # seconds
@@ -48,7 +48,7 @@
     """The replica can't answer that now; the text says why."""
 
 
-def make(settings: StoreSettings, *, join: bool = False) -> Identity:
+def initialize_replica(settings: StoreSettings, *, join: bool = False) -> Identity:
     """A new folder for this replica; `join`: it waits to be added to a cluster. Raises `StorageError`."""
     files = OsFiles(settings.folder)
     files.lock()
@@ -92,7 +92,7 @@
         counters: Counters,
         log: Log,
         adopt: Callable[[Revision], None] = lambda revision: None,
-        follow: Callable[[Machine], None] = lambda machine: None,
+        follow: Callable[[StateMachine], None] = lambda machine: None,
     ) -> None:
         self.settings = settings
         self._counters, self._log, self._adopt = counters, log, adopt
@@ -119,7 +119,7 @@
         """Reads the folder; blocking. One alone makes its own."""
         files = OsFiles(self.settings.folder)
         if self.settings.alone and read_identity(files) is None:
-            make(self.settings)
+            initialize_replica(self.settings)
             self._log.event("store_made", folder=self.settings.folder, replica=self.settings.replica)
         gc.disable()  # nothing that a start reads is garbage, and there may be a hundred thousand of it
         try:
@@ -270,7 +270,7 @@
             return
         self.notify()
 
-    def _followed(self, machine: Machine) -> None:
+    def _followed(self, machine: StateMachine) -> None:
         self._follow(machine)
         self.notify()
 
@@ -314,7 +314,7 @@
 
     async def read(self, most: float) -> None:
         """Returns once the state here is no older than this call."""
-        if isinstance(await self._ask(self.node.read, most), Lost):
+        if isinstance(await self._ask(self.node.read, most), LeadershipLost):
             raise NotLeaderError(self.node.raft.leader)
 
     async def add(self, name: str, where: str, most: float) -> Answer:
--- a/harepick/store/attach.py
+++ b/harepick/store/service.py
@@ -20,41 +20,58 @@
 from anyio.to_thread import run_sync
 
 from harepick import interface as i
-from harepick.core.words import Attempt
+from harepick.core.messages import Attempt
 from harepick.counters import Counters
-from harepick.directory import Row
+from harepick.directory import ServerRecord
 from harepick.enumdns.service import EnumFront, ready_servers, server_name
-from harepick.fleet.limits import Judge, Verdicts
-from harepick.fleet.limits.desk import LimitDesk
-from harepick.fleet.limits.purse import Purse
+from harepick.fleet.limits import IssueVerdict, Verdicts
+from harepick.fleet.limits.limit_buckets import LimitBuckets
+from harepick.fleet.limits.manager import LimitInputs, LimitManager
+from harepick.fleet.limits.operator_api import LimitApi
 from harepick.fleet.limits.screen import FleetScreen
-from harepick.fleet.limits.settings import VerdictPlan
-from harepick.fleet.limits.steward import Facts as LimitFacts
-from harepick.fleet.limits.steward import LimitSteward
+from harepick.fleet.limits.settings import VerdictSettings
 from harepick.fleet.limits.verdicts import BLOCKED, FAILED, OVERLOADED
 from harepick.fleet.maintenance import Orders
-from harepick.fleet.maintenance.desk import Desk
 from harepick.fleet.maintenance.handover import CLOSED, CLOSED_STAGES, OUT, SERVING, Handover
+from harepick.fleet.maintenance.manager import MaintenanceInputs, MaintenanceManager, with_draining
+from harepick.fleet.maintenance.operator_api import MaintenanceApi
 from harepick.fleet.maintenance.orders import CONTROLLER, SERVER
-from harepick.fleet.maintenance.rule import Plan
-from harepick.fleet.maintenance.steward import Facts, Steward, with_barred
-from harepick.fleet.membership.rule import Plan as RosterPlan
-from harepick.fleet.membership.steward import RosterSteward
-from harepick.gapping.config import Row as GapRow
+from harepick.fleet.maintenance.policy import MaintenanceSettings
+from harepick.fleet.membership.manager import MembershipManager
+from harepick.fleet.membership.policy import MembershipSettings
+from harepick.gapping.config import GapRow
 from harepick.gapping.detector import Detector
-from harepick.gapping.gaps import NONE
-from harepick.gapping.shares import Block
-from harepick.gapping.since import dated
-from harepick.gapping.turns import Turns
+from harepick.gapping.gaps import BLOCK_ALL
+from harepick.gapping.slot_allocation import SlotBlock
+from harepick.gapping.slot_requests import SlotRequester
+from harepick.gapping.start_times import with_start_times
 from harepick.log import Log
-from harepick.settings import OWN_KEYS, Address, Enum, SettingsError, address, read_shared, read_toml
+from harepick.settings import (
+    INSTANCE_KEYS,
+    Address,
+    EnumSettings,
+    SettingsError,
+    parse_address,
+    read_store_config,
+    read_toml,
+)
 from harepick.store.disk.files import StorageError
-from harepick.store.fence import SLACK
-from harepick.store.machine import AskTurns, Conflict, Done, Envelope, Machine, Put, Revision, View, ViewRow
-from harepick.store.operators import Operators
+from harepick.store.leases import CLOCK_RATE_MARGIN
+from harepick.store.operator_api import OperatorApi
 from harepick.store.raft.core import BusyError, NotLeaderError
 from harepick.store.replica import Replica, StoreUnavailableError, clock
 from harepick.store.settings import StoreSettings, read_store
+from harepick.store.state_machine import (
+    Conflict,
+    Done,
+    Envelope,
+    PoolView,
+    PoolViewRow,
+    Put,
+    RequestSlots,
+    Revision,
+    StateMachine,
+)
 
 if TYPE_CHECKING:
     from harepick.fleet.history import Recorder
@@ -66,7 +83,7 @@
 TURNS_EVERY = 0.05  # seconds between two looks at the turns of gaps
 HISTORY_EVERY = 1.0  # between two looks at the role, if nothing wakes the watch
 # Until a configuration is known: everything is refused with a time to come back, as the gate is shut.
-NOTHING = '[[upstream]]\nname = "none"\naddress = "127.0.0.1:9"\ndraining = true\n'
+PLACEHOLDER_CONFIG = '[[upstream]]\nname = "none"\naddress = "127.0.0.1:9"\ndraining = true\n'
 
 
 class StoreFront:
@@ -86,23 +103,23 @@
         self._counters, self._log = counters, log
         self._allowed: frozenset[str] = frozenset()
         self._revision = 0
-        self._config: Enum | None = None  # of that revision
+        self._config: EnumSettings | None = None  # of that revision
         self._barred: frozenset[str] = frozenset()  # servers that are leaving or out for work, by name
         self._handover = Handover()  # of this instance's own callers, when it is asked out itself
         self._stage = SERVING
         self._served = False  # whether this process has been open to calls
         self._orders = 0  # version of the orders that is followed
         self._remembered = False
-        nothing = replace(read_shared(NOTHING, self._own), upstreams=())
-        self.purse = Purse()
+        nothing = replace(read_store_config(PLACEHOLDER_CONFIG, self._own), upstreams=())
+        self.purse = LimitBuckets()
         self.screen = FleetScreen(self.purse, clock, self._admitted, self._passed)
         self.front = EnumFront(nothing, counters, log, gate=self, outer=self.screen)
-        self.turns = Turns(settings.replica, self._blocks, time.time())
+        self.turns = SlotRequester(settings.replica, self._blocks, time.time())
         self.front.owns = self.turns.owns
         self.replica = Replica(settings, counters, log, self._adopt, self._follow)
-        self.steward = Steward(self.replica, self._facts, counters, log)
-        self.limits = LimitSteward(self.replica, self.purse, self._limit_facts, counters, log, self._judging)
-        self.roster = RosterSteward(self.replica, self._roster_plan, counters, log)
+        self.steward = MaintenanceManager(self.replica, self._facts, counters, log)
+        self.limits = LimitManager(self.replica, self.purse, self._limit_facts, counters, log, self._judging)
+        self.roster = MembershipManager(self.replica, self._roster_plan, counters, log)
         self._auto_gaps: tuple[GapRow, ...] = ()  # those that the fleet has set by itself
         self._judged: frozenset[str] = frozenset()  # servers under a verdict, by name
         self._honoured: frozenset[str] = frozenset()  # of these, the ones that fresh calls keep away from
@@ -158,7 +175,7 @@
 
     def _adopt(self, revision: Revision) -> None:
         """From here on nothing leaves under an older one."""
-        self._config = config = read_shared(revision.text, self._own)
+        self._config = config = read_store_config(revision.text, self._own)
         self.purse.configure(config.limits, clock())
         self._hold_shares()
         if (config.autogap is None) != (self.limits.detector is None):
@@ -171,7 +188,7 @@
         self._take_effect()
         self._counters.add("store.adopted")
         if self._history:
-            plan = config.maintenance or Plan()
+            plan = config.maintenance or MaintenanceSettings()
             self._history.note(
                 "adopted",
                 revision=revision.number,
@@ -189,7 +206,7 @@
         me, limits = self.settings.replica, self.replica.node.machine.shares.limits
         self.purse.hold({name: known.shares.get(me, 0.0) for name, known in limits.items()}, clock())
 
-    def _follow(self, machine: Machine) -> None:
+    def _follow(self, machine: StateMachine) -> None:
         """From here on nothing fresh leaves for a machine that is leaving or out, or against a verdict, and
         no more is admitted than the shares."""
         self._hold_shares()
@@ -232,7 +249,7 @@
                     )
         self._orders = orders.version
         self._barred = orders.barred(SERVER)
-        plan = (self._config.maintenance if self._config else None) or Plan()
+        plan = (self._config.maintenance if self._config else None) or MaintenanceSettings()
         own = orders.of(CONTROLLER, self.settings.replica)
         self._handover.follow(own, clock(), plan.handover, self._served)
         self._handing_over()
@@ -252,7 +269,7 @@
         if config is None:
             return
         shares, me = self.replica.node.machine.shares, self.settings.replica
-        young = clock() - self._began < config.deadline * SLACK
+        young = clock() - self._began < config.deadline * CLOCK_RATE_MARGIN
         for name in self._unbound:
             self.front.allot(name, inf)
         self._unbound = set()
@@ -268,23 +285,23 @@
             if self._bound:
                 self._allot()
 
-    def _apply_barred(self, config: Enum) -> None:
-        config = with_barred(config, self._barred)
-        judged = with_barred(config, self._judged)
+    def _apply_barred(self, config: EnumSettings) -> None:
+        config = with_draining(config, self._barred)
+        judged = with_draining(config, self._judged)
         self._honoured = self._judged if ready_servers(judged) else frozenset()
         if self._honoured:  # what one controller sees must not stop the fleet
             config = judged
         self._allowed = ready_servers(config)
         self.front.apply(replace(config, gaps=(*config.gaps, *self._auto_gaps)))
 
-    def _facts(self) -> Facts | None:
+    def _facts(self) -> MaintenanceInputs | None:
         """What the rule of maintenance has to know of this instance and its configuration."""
         config = self._config
         if config is None:
             return None
         verdicts = self.replica.node.machine.verdicts
-        return Facts(
-            plan=config.maintenance or Plan(),
+        return MaintenanceInputs(
+            plan=config.maintenance or MaintenanceSettings(),
             revision=self._revision,
             servers=frozenset(u.name for u in config.upstreams if not u.draining),
             failed=self._honoured & verdicts.subjects(FAILED),
@@ -292,19 +309,19 @@
             idle=self._handing_over() == CLOSED and self.front.idle,
         )
 
-    def _roster_plan(self) -> RosterPlan | None:
-        return (self._config.membership or RosterPlan()) if self._config else None
+    def _roster_plan(self) -> MembershipSettings | None:
+        return (self._config.membership or MembershipSettings()) if self._config else None
 
-    def _limit_facts(self) -> LimitFacts | None:
+    def _limit_facts(self) -> LimitInputs | None:
         config = self._config
         if config is None:
             return None
         avoided = self.front.avoided
         ready = [u for u in config.upstreams if not u.draining and u.name not in self._barred | self._judged]
-        return LimitFacts(
+        return LimitInputs(
             revision=self._revision,
             limits=config.limits,
-            plan=config.verdicts or VerdictPlan(),
+            plan=config.verdicts or VerdictSettings(),
             avoided=frozenset(u.name for u in ready if server_name(u.name, u.address) in avoided),
             longest=config.deadline,
             auto=config.autogap,
@@ -315,14 +332,14 @@
         if self._history is None or self.front.gaps is None or self._config is None:
             return
         for gap in self.front.gaps.explain(called, self._config.call_class, now):
-            if 0 < gap.interval < NONE:
+            if 0 < gap.interval < BLOCK_ALL:
                 self._history.note("passed", gap=gap.id, slot=floor(now / gap.interval))
 
     def _admitted(self, limit: str) -> None:
         if self._history:
             self._history.note("admitted", limit=limit)
 
-    def _judging(self, judge: Judge) -> None:
+    def _judging(self, judge: IssueVerdict) -> None:
         self._log.event("verdict", kind=judge.kind, subject=judge.subject, why=judge.why)
         if self._history:
             self._history.note("judging", kind=judge.kind, subject=judge.subject)
@@ -354,9 +371,9 @@
         self, stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
         async with anyio.create_task_group() as tasks:
-            desk = Desk(self.replica, self.steward, self._names)
-            limits = LimitDesk(self.replica, self.limits, self._names)
-            Operators(self.replica, self._counters, desk.methods | limits.methods)
+            desk = MaintenanceApi(self.replica, self.steward, self._names)
+            limits = LimitApi(self.replica, self.limits, self._names)
+            OperatorApi(self.replica, self._counters, desk.methods | limits.methods)
             await tasks.start(self.replica.run)
             tasks.start_soon(self.steward.run)
             tasks.start_soon(self.limits.run)
@@ -404,7 +421,7 @@
                 history.note("role", role=now[0], term=now[1], leader=now[2], stopped=now[3])
             await self.replica.changed(HISTORY_EVERY)
 
-    def _blocks(self, name: str, instance: str) -> list[Block]:
+    def _blocks(self, name: str, instance: str) -> list[SlotBlock]:
         return self.replica.node.machine.turns.blocks(name, instance)
 
     async def _ask_turns(self) -> None:
@@ -415,14 +432,14 @@
             if gaps is None or not self.replica.may_act():
                 continue
             for ask in self.turns.asks(time.time(), gaps.uses()):
-                body = AskTurns(ask.instance, ask.gap, ask.first, ask.demand, time.time(), ask.most)
+                body = RequestSlots(ask.instance, ask.gap, ask.first, ask.demand, time.time(), ask.most)
                 self.replica.suggest(Envelope("", 0, body))
                 self._counters.add("gaps.asked")
 
     async def _write_first(self, text: str) -> None:
         """The first configuration of a new cluster, from the file that `store.first` names; one of them
         wins."""
-        text = await run_sync(dated, text, "", time.time())
+        text = await run_sync(with_start_times, text, "", time.time())
         envelope = Envelope("", 0, Put(text, 0, f"{self.settings.replica}: store.first", "", time.time()))
         while self.replica.node.revision is None and not self.replica.node.stopped:
             try:
@@ -445,19 +462,19 @@
         rows = []
         for row in view.rows:
             entry = i.ServerEntry(row.server, row.number, row.state, row.size, row.started, row.zone)
-            rows.append(Row(entry, address(row.address, "view.address")))
+            rows.append(ServerRecord(entry, parse_address(row.address, "view.address")))
         self.front.remember(rows)
         self._counters.add("store.remembered", len(rows))
         self._log.event("store_remembered", servers=[f"{r.server} {r.state}" for r in view.rows])
 
-    def _rows(self) -> tuple[ViewRow, ...]:
+    def _rows(self) -> tuple[PoolViewRow, ...]:
         directory = self.front.directory
         rows = []
         for entry in directory.entries():
             row = directory.get(entry.server)
             assert row
             rows.append(
-                ViewRow(
+                PoolViewRow(
                     entry.server,
                     entry.number,
                     entry.state,
@@ -478,7 +495,7 @@
             rows = self._rows()
             known = self.replica.node.machine.views.get(self.settings.replica)
             if known is None or known.rows != rows:
-                view = View(self.settings.replica, rows, at=time.time())
+                view = PoolView(self.settings.replica, rows, at=time.time())
                 self.replica.suggest(Envelope("", 0, view))
                 self._counters.add("store.views")
 
@@ -504,7 +521,7 @@
         return None
     if not isinstance(ops, Mapping) or set(ops) - {"listen"}:
         raise SettingsError(f"setting ops is not a table with listen: {ops!r}")
-    return address(ops.get("listen"), "ops.listen")
+    return parse_address(ops.get("listen"), "ops.listen")
 
 
 def _own_part(table: Mapping[str, Any], path: str) -> tuple[dict[str, Any], str | None]:
@@ -517,7 +534,7 @@
     front = table.get("enum", {})
     if not isinstance(front, Mapping):
         raise SettingsError(f"setting enum makes no sense: {front!r}")
-    for key in sorted(front.keys() - OWN_KEYS):
+    for key in sorted(front.keys() - INSTANCE_KEYS):
         raise SettingsError(f"setting enum.{key} belongs in the store's configuration")
     first = table["store"].get("first")
     if first is None:
@@ -527,7 +544,7 @@
     where = Path(path).parent / first
     try:
         text = where.read_text()
-        read_shared(text)
+        read_store_config(text)
     except (OSError, ValueError) as error:  # a `SettingsError` is a ValueError
         raise SettingsError(f"setting store.first: {where}: {error}") from None
     return dict(front), text
--- a/harepick/store/settings.py
+++ b/harepick/store/settings.py
@@ -8,14 +8,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from harepick.settings import Address, SettingsError, address
-from harepick.store.fence import LEASE
+from harepick.settings import Address, SettingsError, parse_address
+from harepick.store.leases import LEASE_S
 from harepick.store.raft.messages import Member, Membership
 
 KEYS = {"cluster", "replica", "listen", "folder", "lease_ms", "member", "first"}
 MEMBER_KEYS = {"replica", "address"}
 NAME = re.compile(r"[0-9A-Za-z][0-9A-Za-z._-]{0,63}$")
-MOST_MEMBERS = 9
+MAX_MEMBERS = 9
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
 
 def peer_address(text: Any, key: str) -> Address:
     """On loopback only, as long as what replicas say to each other is not encrypted."""
-    where = address(text, key)
+    where = parse_address(text, key)
     if not ipaddress.ip_address(where.host).is_loopback:
         raise SettingsError(
             f"setting {key} is not on loopback: {text!r}; replicas speak in the clear until they have TLS"
@@ -68,7 +68,7 @@
     folder = store.get("folder")
     if not isinstance(folder, str) or not folder:
         raise SettingsError("setting store.folder is missing")
-    lease = store.get("lease_ms", LEASE * 1000)
+    lease = store.get("lease_ms", LEASE_S * 1000)
     if isinstance(lease, bool) or not isinstance(lease, int | float) or not 500 <= lease <= 60_000:
         raise SettingsError(f"setting store.lease_ms is not between 500 and 60000: {lease!r}")
     return StoreSettings(
@@ -87,8 +87,8 @@
         raise SettingsError(f"setting store.member makes no sense: {rows!r}")
     if not rows:
         return Membership((Member(replica, str(listen)),))
-    if len(rows) > MOST_MEMBERS:
-        raise SettingsError(f"setting store.member has over {MOST_MEMBERS} rows")
+    if len(rows) > MAX_MEMBERS:
+        raise SettingsError(f"setting store.member has over {MAX_MEMBERS} rows")
     members = Membership()
     for n, row in enumerate(rows):
         path = f"store.member[{n}]"
--- a/harepick/store/machine.py
+++ b/harepick/store/state_machine.py
@@ -12,11 +12,11 @@
 from msgspec import Struct
 
 from harepick.fleet.limits import (
-    Judge,
-    Lift,
+    IssueVerdict,
+    LiftVerdict,
     LimitCommand,
     RefusedSplitError,
-    Settle,
+    ReleaseOwed,
     Shares,
     SharesState,
     Split,
@@ -24,17 +24,17 @@
     Verdicts,
     VerdictsState,
 )
-from harepick.fleet.maintenance import Move, OrderCommand, Orders, OrdersState, RefusedOrderError
-from harepick.fleet.membership import Mark, RefusedMarkError, Roster, RosterState
-from harepick.gapping import Allotment, Ask
+from harepick.fleet.maintenance import AdvanceOrder, OrderCommand, Orders, OrdersState, RefusedOrderError
+from harepick.fleet.membership import AbsenceList, AbsenceListState, RefusedMemberStateError, SetMemberState
+from harepick.gapping import SlotAllocator, SlotRequest
 
 FORMAT = 1  # of entries and snapshots; first byte of each
-MOST_SESSIONS = 4_096  # the one that was silent for longest is forgotten
-MOST_REVISIONS = 500
-MOST_HISTORY = 8 * 1024 * 1024  # bytes of all revisions' texts
-MOST_TEXT = 256 * 1024  # bytes of one configuration
-MOST_ROWS = 256  # rows of one instance's view
-MOST_VIEWS = 64  # instances whose view is kept
+MAX_SESSIONS = 4_096  # the one that was silent for longest is forgotten
+MAX_REVISIONS = 500
+MAX_HISTORY = 8 * 1024 * 1024  # bytes of all revisions' texts
+MAX_TEXT = 256 * 1024  # bytes of one configuration
+MAX_ROWS = 256  # rows of one instance's view
+MAX_VIEWS = 64  # instances whose view is kept
 
 
 class FormatError(Exception):
@@ -64,7 +64,7 @@
     at: float = 0.0
 
 
-class ViewRow(Struct, frozen=True, array_like=True):
+class PoolViewRow(Struct, frozen=True, array_like=True):
     """What an instance knew of one server."""
 
     server: str
@@ -76,17 +76,17 @@
     address: str = ""
 
 
-class View(Struct, frozen=True, tag="view"):
+class PoolView(Struct, frozen=True, tag="view"):
     """The pool as one instance knew it last."""
 
     instance: str
-    rows: tuple[ViewRow, ...]
+    rows: tuple[PoolViewRow, ...]
     offset: int = 0  # of the last event heard, where there is a bus
     at: float = 0.0
 
 
-class AskTurns(Struct, frozen=True, tag="turns"):
-    """An instance wants turns of a gap from slot `first` on (`harepick/gapping/shares.py`)."""
+class RequestSlots(Struct, frozen=True, tag="turns"):
+    """An instance wants turns of a gap from slot `first` on (`harepick/gapping/slot_allocation.py`)."""
 
     instance: str
     gap: str
@@ -96,7 +96,9 @@
     most: int = 16  # slots at once
 
 
-Command = Put | RollBack | View | AskTurns | OrderCommand | LimitCommand | VerdictCommand | Mark
+Command = (
+    Put | RollBack | PoolView | RequestSlots | OrderCommand | LimitCommand | VerdictCommand | SetMemberState
+)
 
 
 class Envelope(Struct, frozen=True):
@@ -126,7 +128,7 @@
     why: str
 
 
-class Granted(Struct, frozen=True, tag="granted"):
+class SlotsGranted(Struct, frozen=True, tag="granted"):
     """Slots [first, first + length) of the gap are the asker's."""
 
     gap: str
@@ -135,7 +137,7 @@
     index: int
 
 
-class Ordered(Struct, frozen=True, tag="ordered"):
+class OrderChanged(Struct, frozen=True, tag="ordered"):
     """An order (0: none) as the command left it, and the version of the orders."""
 
     order: int
@@ -144,13 +146,13 @@
     index: int
 
 
-class Shared(Struct, frozen=True, tag="shared"):
+class StepApplied(Struct, frozen=True, tag="shared"):
     """A step of the limits, verdicts or roster took effect."""
 
     index: int
 
 
-Result = Done | Conflict | Refused | Granted | Ordered | Shared
+Result = Done | Conflict | Refused | SlotsGranted | OrderChanged | StepApplied
 
 
 class Revision(Struct, frozen=True):
@@ -173,14 +175,14 @@
     applied: int = 0
     revisions: list[Revision] = msgspec.field(default_factory=list)
     sessions: list[tuple[str, Session]] = msgspec.field(default_factory=list)
-    views: dict[str, View] = msgspec.field(default_factory=dict)
+    views: dict[str, PoolView] = msgspec.field(default_factory=dict)
     turns: list[tuple[str, int, list[tuple[str, float]], list[tuple[str, int, int]]]] = msgspec.field(
         default_factory=list
-    )  # `Allotment.dump`
+    )  # `SlotAllocator.dump`
     orders: OrdersState = msgspec.field(default_factory=OrdersState)
     shares: SharesState = msgspec.field(default_factory=SharesState)
     verdicts: VerdictsState = msgspec.field(default_factory=VerdictsState)
-    roster: RosterState = msgspec.field(default_factory=RosterState)
+    roster: AbsenceListState = msgspec.field(default_factory=AbsenceListState)
 
 
 _envelope = msgspec.msgpack.Decoder(Envelope)
@@ -200,7 +202,7 @@
         raise FormatError(f"entry of format {FORMAT} that can't be read: {error}") from None
 
 
-class Machine:
+class StateMachine:
     """Owns the state; `apply` is the one way to change it."""
 
     def __init__(self) -> None:
@@ -208,12 +210,12 @@
         self._revisions: OrderedDict[int, Revision] = OrderedDict()
         self._history = 0  # bytes of their texts
         self._sessions: OrderedDict[str, Session] = OrderedDict()
-        self.views: dict[str, View] = {}
-        self.turns = Allotment()  # of gaps' slots over the fleet
+        self.views: dict[str, PoolView] = {}
+        self.turns = SlotAllocator()  # of gaps' slots over the fleet
         self.orders = Orders()  # machines out for work
         self.shares = Shares()  # of limits
         self.verdicts = Verdicts()
-        self.roster = Roster()  # of absent members
+        self.roster = AbsenceList()  # of absent members
 
     @property
     def latest(self) -> Revision | None:
@@ -222,7 +224,7 @@
     def revision(self, number: int) -> Revision | None:
         return self._revisions.get(number)
 
-    def history(self, most: int = MOST_REVISIONS) -> list[Revision]:
+    def history(self, most: int = MAX_REVISIONS) -> list[Revision]:
         """The latest first."""
         return list(reversed(self._revisions.values()))[:most]
 
@@ -245,7 +247,7 @@
         if envelope.session:
             self._sessions[envelope.session] = Session(envelope.number, result)
             self._sessions.move_to_end(envelope.session)
-            while len(self._sessions) > MOST_SESSIONS:
+            while len(self._sessions) > MAX_SESSIONS:
                 self._sessions.popitem(last=False)
         return result
 
@@ -262,31 +264,31 @@
                 if old is None:
                     return Refused(f"revision {to} is not kept")
                 return self._put(index, old.text, expect, author, note or f"rollback to {to}", at)
-            case View():
-                if len(command.rows) > MOST_ROWS:
-                    return Refused(f"a view has {MOST_ROWS} rows at most")
+            case PoolView():
+                if len(command.rows) > MAX_ROWS:
+                    return Refused(f"a view has {MAX_ROWS} rows at most")
                 self.views.pop(command.instance, None)
                 self.views[command.instance] = command
-                while len(self.views) > MOST_VIEWS:
+                while len(self.views) > MAX_VIEWS:
                     del self.views[next(iter(self.views))]
                 return Done(self.latest.number if self.latest else 0, index)
-            case AskTurns(instance, gap, first, demand, _, most):
-                block = self.turns.apply(Ask(instance, gap, first, demand, most))
-                return Granted(gap, block.first, block.length, index)
-            case Split() | Settle():
+            case RequestSlots(instance, gap, first, demand, _, most):
+                block = self.turns.apply(SlotRequest(instance, gap, first, demand, most))
+                return SlotsGranted(gap, block.first, block.length, index)
+            case Split() | ReleaseOwed():
                 return self._share(index, command)
-            case Judge() | Lift():
+            case IssueVerdict() | LiftVerdict():
                 number, why = self.verdicts.apply(index, command)
                 if why:
                     return Refused(why)
                 # `Done` is answered once all that may act honour it.
-                return Done(number, index) if isinstance(command, Judge) else Shared(index)
-            case Mark():
+                return Done(number, index) if isinstance(command, IssueVerdict) else StepApplied(index)
+            case SetMemberState():
                 try:
                     self.roster.apply(command)
-                except RefusedMarkError as error:
+                except RefusedMemberStateError as error:
                     return Refused(str(error))
-                return Shared(index)
+                return StepApplied(index)
             case _:
                 return self._order(index, command)
 
@@ -298,14 +300,14 @@
         return Refused(f"decided on revision {revision}, and {latest} is the latest")
 
     def _order(self, index: int, command: OrderCommand) -> Result:
-        if isinstance(command, Move) and (stale := self._stale(command.revision)):
+        if isinstance(command, AdvanceOrder) and (stale := self._stale(command.revision)):
             return stale
         try:
             order = self.orders.apply(index, command)
         except RefusedOrderError as error:
             return Refused(str(error))
         number, state = (order.id, order.state) if order else (0, "")
-        return Ordered(number, state, self.orders.version, index)
+        return OrderChanged(number, state, self.orders.version, index)
 
     def _share(self, index: int, command: LimitCommand) -> Result:
         if isinstance(command, Split) and (stale := self._stale(command.revision)):
@@ -314,7 +316,7 @@
             self.shares.apply(index, command)
         except RefusedSplitError as error:
             return Refused(str(error))
-        return Shared(index)
+        return StepApplied(index)
 
     @property
     def news(self) -> tuple[int, int, int]:
@@ -325,16 +327,16 @@
         latest = self.latest.number if self.latest else 0
         if expect is not None and expect != latest:
             return Conflict(expect, latest)
-        if len(text) > MOST_TEXT:
-            return Refused(f"a configuration has {MOST_TEXT} characters at most")
+        if len(text) > MAX_TEXT:
+            return Refused(f"a configuration has {MAX_TEXT} characters at most")
         self._keep(Revision(latest + 1, text, author, note, at, index))
         return Done(latest + 1, index)
 
     def _keep(self, revision: Revision) -> None:
         self._revisions[revision.number] = revision
         self._history += len(revision.text)
-        while len(self._revisions) > MOST_REVISIONS or (
-            self._history > MOST_HISTORY and len(self._revisions) > 1
+        while len(self._revisions) > MAX_REVISIONS or (
+            self._history > MAX_HISTORY and len(self._revisions) > 1
         ):
             self._history -= len(self._revisions.popitem(last=False)[1].text)
 
@@ -365,9 +367,9 @@
         self._history = sum(len(r.text) for r in state.revisions)
         self._sessions = OrderedDict(state.sessions)
         self.views = state.views
-        self.turns = Allotment()
+        self.turns = SlotAllocator()
         self.turns.load(state.turns)
         self.orders = Orders(state.orders)
         self.shares = Shares(state.shares)
         self.verdicts = Verdicts(state.verdicts)
-        self.roster = Roster(state.roster)
+        self.roster = AbsenceList(state.roster)
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -16,28 +16,28 @@
 from harepick.counters import Counters
 from harepick.log import Log
 from harepick.net.outbox import Outbox
-from harepick.settings import Address, SettingsError, address
+from harepick.settings import Address, SettingsError, parse_address
 from harepick.store import wire
 from harepick.store.disk.storage import Identity
 from harepick.store.node import PeerMessage
 from harepick.store.settings import peer_address
-from harepick.store.wire import LOST, Frames, Hello, Welcome, WireError
+from harepick.store.wire import CONNECTION_ERRORS, Frames, Hello, Welcome, WireError
 
 CONNECT = 1.0  # seconds to open a connection and be welcomed
 HELLO = 2.0  # seconds that a stranger has for its hello
 STALL = 2.0  # seconds that a peer may leave us unread
 QUIET = 30.0  # seconds without a frame after which a peer's connection is closed
 RETRY, RETRY_MOST = 0.05, 0.5
-MOST_STRANGERS = 64  # connections without a hello so far; the oldest makes room
-MOST_PEERS = 64
-MOST_TOOLS = 64
+MAX_STRANGERS = 64  # connections without a hello so far; the oldest makes room
+MAX_PEERS = 64
+MAX_TOOLS = 64
 OUTBOX = 512  # messages that wait for one peer
 
 Receive = Callable[[str, PeerMessage], None]
 Serve = Callable[[ByteStream, Frames], Awaitable[None]]
 
 
-async def opening(where: Address) -> ByteStream:
+async def open_stream(where: Address) -> ByteStream:
     """The one place where a stream is opened; encryption goes here."""
     return await anyio.connect_tcp(where.host, where.port)
 
@@ -134,7 +134,7 @@
                 try:
                     await self._speak_once(peer)
                     wait = RETRY
-                except LOST as error:
+                except CONNECTION_ERRORS as error:
                     text = f"{type(error).__name__}: {error}"
                     if peer.up or text != peer.error:
                         self._log.event("store_peer_lost", peer=peer.name, error=text)
@@ -147,7 +147,7 @@
 
     async def _speak_once(self, peer: Peer) -> None:
         with anyio.fail_after(CONNECT):
-            stream = await opening(address(peer.where, "store.member.address"))
+            stream = await open_stream(parse_address(peer.where, "store.member.address"))
         async with stream:
             me = self._identity
             frames = Frames(stream)
@@ -173,7 +173,7 @@
         return Hello("peer", me.cluster, me.replica, me.folder, address=str(self._listen))
 
     def _packed(self, messages: list[PeerMessage]) -> list[bytes]:
-        """Frames, many in one write, none in a write of over `MOST_FRAME`."""
+        """Frames, many in one write, none in a write of over `MAX_FRAME`."""
         parts, size = [bytearray()], 0
         for message in messages:
             try:
@@ -181,7 +181,7 @@
             except WireError:
                 self._counters.add("store.too_large")
                 continue
-            if size and size + len(data) > wire.MOST_FRAME:
+            if size and size + len(data) > wire.MAX_FRAME:
                 parts.append(bytearray())
                 size = 0
             parts[-1] += data
@@ -208,7 +208,7 @@
     async def _accept(self, stream: ByteStream) -> None:
         scope = anyio.CancelScope()
         self._strangers.append(scope)
-        if len(self._strangers) > MOST_STRANGERS:
+        if len(self._strangers) > MAX_STRANGERS:
             self._counters.add("store.strangers_dropped")
             self._strangers[0].cancel()
         with scope:
@@ -218,7 +218,7 @@
                 except WireError as error:
                     self._counters.add("store.malformed")
                     self._log.event("store_malformed", error=str(error))
-                except LOST:
+                except CONNECTION_ERRORS:
                     self._counters.add("store.connections_lost")
                 finally:
                     if scope in self._strangers:
@@ -236,7 +236,7 @@
             self._log.event("store_turned_away", replica=hello.replica, error=why)
             return
         self._strangers.remove(scope)
-        frames.most = wire.MOST_FRAME
+        frames.most = wire.MAX_FRAME
         if hello.role == "tool":
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):  # a tool may go when it likes
                 await self._hear_tool(stream, frames)
@@ -265,7 +265,7 @@
         if hello.cluster != me.cluster:
             return f"cluster {hello.cluster!r}; this is {me.cluster!r}"
         if hello.role == "tool":
-            return "too many tools" if self._tools >= MOST_TOOLS else ""
+            return "too many tools" if self._tools >= MAX_TOOLS else ""
         if hello.role != "peer":
             return f"unknown role {hello.role!r}"
         if hello.replica == me.replica:
@@ -274,7 +274,7 @@
             if self._pins.get(hello.replica) == hello.folder:
                 self.knocked(hello.replica)
             return f"replica {hello.replica!r} is no member"
-        if len(self._heard) >= MOST_PEERS:
+        if len(self._heard) >= MAX_PEERS:
             return "too many peers"
         return await self._known(hello.replica, hello.folder)
 
--- a/harepick/store/wire.py
+++ b/harepick/store/wire.py
@@ -17,8 +17,8 @@
 
 VERSION = 1
 LENGTH = struct.Struct(">I")
-MOST_HELLO = 4 * 1024
-MOST_FRAME = 4 * 1024 * 1024
+MAX_HELLO = 4 * 1024
+MAX_FRAME = 4 * 1024 * 1024
 READ = 256 * 1024
 
 Value = TypeVar("Value")
@@ -74,8 +74,8 @@
 
 def frame(value: object) -> bytes:
     data = _encoder.encode(value)
-    if len(data) > MOST_FRAME:
-        raise WireError(f"a frame of {len(data)} bytes; {MOST_FRAME} at most")
+    if len(data) > MAX_FRAME:
+        raise WireError(f"a frame of {len(data)} bytes; {MAX_FRAME} at most")
     return LENGTH.pack(len(data)) + data
 
 
@@ -85,7 +85,7 @@
     def __init__(self, stream: ByteStream) -> None:
         self._stream = stream
         self._buffer = bytearray()
-        self.most = MOST_HELLO
+        self.most = MAX_HELLO
 
     def ready(self) -> bytes | None:
         """A frame that is here already; raises `WireError` for one too large."""
@@ -136,7 +136,7 @@
         raise WireError(f"a message that can't be read: {error}") from None
 
 
-LOST = (
+CONNECTION_ERRORS = (
     OSError,
     TimeoutError,
     WireError,
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -11,11 +11,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harepick.fleet.play import Play
+from harepick.fleet.runner import ScenarioRunner
 from harepick.fleet.scenario import make_scenario
-from harepick.gapping.auto import HOLDS, STEPS, AutoGaps, AutoPlan, sums, told
+from harepick.gapping.auto_gaps import (
+    HOLDS,
+    STEPS,
+    AutoGaps,
+    AutoGapSettings,
+    failed_rate_key,
+    sum_call_rates,
+)
 from harepick.gapping.detector import AHEAD, MEMORY, Detector
-from harepick.settings import SettingsError, read_operator, read_shared
+from harepick.settings import SettingsError, read_operator_file, read_store_config
 
 CLAIM, OTHER = "+94112345678", "+94551112222"
 SHARED = '[[upstream]]\nname = "s0"\naddress = "127.0.0.1:1"\n'
@@ -67,13 +74,13 @@
 
 # The rule
 
-PLAN = AutoPlan(per_s=40.0, failing=0.5, after=2.0, interval=1.0, ttl=10.0)
+PLAN = AutoGapSettings(per_s=40.0, failing=0.5, after=2.0, interval=1.0, ttl=10.0)
 
 
 class Fleet:
     """Carries out what the rule says, and ends gaps as a leader does."""
 
-    def __init__(self, plan: AutoPlan = PLAN) -> None:
+    def __init__(self, plan: AutoGapSettings = PLAN) -> None:
         self.plan, self.auto, self.now = plan, AutoGaps(), 0.0
         self.gaps: dict[str, tuple[float, float]] = {}  # number -> interval, since when
         self.said: list[tuple[float, str, float]] = []
@@ -160,8 +167,11 @@
 
 
 def test_what_instances_tell_is_summed() -> None:
-    rows = {"a": {CLAIM: 30.0, told(CLAIM): 20.0, "appeal": 5.0}, "b": {CLAIM: 20.0, "x@10.0.0.1": 1.0}}
-    assert sums(rows) == {CLAIM: (50.0, 20.0)}
+    rows = {
+        "a": {CLAIM: 30.0, failed_rate_key(CLAIM): 20.0, "appeal": 5.0},
+        "b": {CLAIM: 20.0, "x@10.0.0.1": 1.0},
+    }
+    assert sum_call_rates(rows) == {CLAIM: (50.0, 20.0)}
 
 
 @pytest.mark.parametrize(
@@ -177,16 +187,16 @@
 )
 def test_a_faulty_plan_names_its_key(text: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
-        read_shared(text + "\n" + SHARED if text[0] != "[" else SHARED + text)
+        read_store_config(text + "\n" + SHARED if text[0] != "[" else SHARED + text)
     assert f"setting {key} " in str(caught.value), caught.value
 
 
 def test_a_plan_is_read_and_needs_a_store(tmp_path: Path) -> None:
     text = SHARED + "[autogap]\nper_s = 40\nttl_s = 5\nact = false\n"
-    assert read_shared(text).autogap == AutoPlan(40.0, ttl=5.0, act=False)
+    assert read_store_config(text).autogap == AutoGapSettings(40.0, ttl=5.0, act=False)
     (tmp_path / "x.toml").write_text('[enum]\nlisten = "127.0.0.1:1"\n' + text)
     with pytest.raises(SettingsError, match="autogap"):
-        read_operator(str(tmp_path / "x.toml"))
+        read_operator_file(str(tmp_path / "x.toml"))
 
 
 # The fleet
@@ -221,7 +231,7 @@
 
 @pytest.mark.fleet
 def test_the_fleet_gaps_a_number_that_is_called_in_vain_and_lets_go_of_it(tmp_path: Path) -> None:
-    report = anyio.run(Play(make_scenario(tomllib.loads(MORNING), "morning"), 1, tmp_path).run)
+    report = anyio.run(ScenarioRunner(make_scenario(tomllib.loads(MORNING), "morning"), 1, tmp_path).run)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
     at = [(e.mono - report.start, e) for e in report.events]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,14 +24,14 @@
 
 from harepick import interface as i
 from harepick.core.inbox import BATCH, ROOM, Inbox
-from harepick.core.words import Attempt, AttemptOver, CallerGone, Offer, Word
+from harepick.core.messages import Attempt, AttemptOver, CallerGone, Message, Offer
 from harepick.counters import Counters
 from harepick.log import Log
 from harepick.net import binary, sip
 from harepick.net.bus import LONGEST_PATIENCE, PATIENCE, SPREAD, Lag
 from harepick.net.callers import Callers
-from harepick.net.link import Link
-from harepick.net.room import Connection, Item
+from harepick.net.connection_limits import Connection, Item
+from harepick.net.connection_pool import ConnectionPool
 from harepick.net.setups import Request
 from harepick.settings import Address
 from tests import peers
@@ -487,7 +487,7 @@
             task_status.started(listener.extra(anyio.abc.SocketAttribute.local_port))
             await self.callers.listen(listener, self.closing)
 
-    async def words(self, kind: type[Word]) -> list[Any]:
+    async def words(self, kind: type[Message]) -> list[Any]:
         return [word for word in await self.inbox.drain(0) if isinstance(word, kind)]
 
     def connections(self) -> set[Connection]:
@@ -669,9 +669,9 @@
         return Address("127.0.0.1", self.listener.getsockname()[1])
 
 
-async def written(owner: Owner, tasks: anyio.abc.TaskGroup) -> tuple[Link, Attempt]:
+async def written(owner: Owner, tasks: anyio.abc.TaskGroup) -> tuple[ConnectionPool, Attempt]:
     """A link with one line, and a set-up that is out on it."""
-    link = Link(owner, tasks, "s0", owner.address())
+    link = ConnectionPool(owner, tasks, "s0", owner.address())
     placed = attempt()
     link.place(placed)
     await met(lambda: owner.counters["servers.invites_written"])
@@ -686,7 +686,7 @@
 async def test_a_release_in_hand_when_its_line_ends_goes_to_the_server_on_the_next() -> None:
     owner = Owner()
     async with anyio.create_task_group() as tasks:
-        link = Link(owner, tasks, "s0", owner.address())
+        link = ConnectionPool(owner, tasks, "s0", owner.address())
         link.place(attempt())
         await met(lambda: owner.counters["servers.invites_written"])
         peer = peers.Peer(owner.listener.accept()[0], sip.Decoder())
@@ -709,7 +709,7 @@
     """As when an idle line closes: it has not left, and nothing is known against the server."""
     owner = Owner()
     async with anyio.create_task_group() as tasks:
-        link = Link(owner, tasks, "s0", owner.address())
+        link = ConnectionPool(owner, tasks, "s0", owner.address())
         first, second = attempt(), attempt("0" * 15 + "2")
         link.place(first)
         await met(lambda: owner.counters["servers.invites_written"])
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -15,16 +15,16 @@
 from harepick.core import engine as core
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
-from harepick.core.words import (
+from harepick.core.messages import (
     Answered,
     Attempt,
     AttemptOver,
     CallerGone,
     CallOver,
+    ControllerEvent,
+    Message,
     Offer,
     ServerDied,
-    Told,
-    Word,
 )
 from harepick.counters import Counters
 from harepick.log import Log
@@ -57,7 +57,7 @@
         self.stood: set[str] = set()  # servers at which the call stands
         self.told_off: dict[str, str] = {}
         self.not_before = 0.0
-        self.words: list[Word] = []  # told with the next turn
+        self.words: list[Message] = []  # told with the next turn
         self.settings = settings(may_cancel=cancelling)
         self.engine = Engine(self.settings, seed, self, Inbox(), Counters(), LOG, clock=lambda: self.now)
         rows = tuple(i.ServerEntry(f"s{n}", n, "ready") for n in range(2))
@@ -190,7 +190,7 @@
     def list_as(self, server: str, state: str) -> None:
         self.told_off[server] = state
         entry = i.ServerEntry(server, int(server[1]), state)
-        self.words.append(Told(i.ServerList(i.ListKind.CHANGES, (entry,))))
+        self.words.append(ControllerEvent(i.ServerList(i.ListKind.CHANGES, (entry,))))
 
     def on_drain(self, server: str) -> None:
         if server not in self.told_off:
--- a/tests/test_enum_start.py
+++ b/tests/test_enum_start.py
@@ -11,12 +11,12 @@
 
 from harepick import interface as i
 from harepick.counters import Counters
-from harepick.directory import Row
+from harepick.directory import ServerRecord
 from harepick.enumdns.service import EnumFront, server_name
 from harepick.fleet.ports import free_port
 from harepick.log import Log
-from harepick.settings import Enum, address, read_shared
-from harepick.store.attach import NOTHING
+from harepick.settings import EnumSettings, parse_address, read_store_config
+from harepick.store.service import PLACEHOLDER_CONFIG
 from tests.dnspeers import Client, Upstream
 
 
@@ -31,8 +31,8 @@
         '[[upstream]]\nname = "north"\naddress = "127.0.0.1:9"\ndraining = true\n'
         f'[[upstream]]\nname = "south"\naddress = "127.0.0.1:{upstream.port}"\n'
     )
-    latest = read_shared(text, own)
-    front = EnumFront(read_shared(NOTHING, own), Counters(), Log())
+    latest = read_store_config(text, own)
+    front = EnumFront(read_store_config(PLACEHOLDER_CONFIG, own), Counters(), Log())
     true: Callable[..., Awaitable[Any]] = getattr(anyio, when)
 
     async def opening(**arguments: Any) -> Any:
@@ -60,12 +60,12 @@
     assert served == [0] * 10
 
 
-def rows(config: Enum) -> list[Row]:
+def rows(config: EnumSettings) -> list[ServerRecord]:
     """As the pool view has them."""
     return [
-        Row(
+        ServerRecord(
             i.ServerEntry(server_name(u.name, u.address), n, "draining" if u.draining else "ready"),
-            address(str(u.address), "view.address"),
+            parse_address(str(u.address), "view.address"),
         )
         for n, u in enumerate(config.upstreams)
     ]
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harepick.fleet.health import MOST, WITNESSES, Watch, health
-from harepick.store.fence import LEASE
+from harepick.fleet.health import MOST, WITNESSES, AvoidanceTracker, health
+from harepick.store.leases import LEASE_S
 from harepick.store.node import Demand, Node
 from harepick.store.raft.messages import HardState, Member, Membership, Snapshot
 
@@ -21,7 +21,7 @@
 
 
 def test_a_span_ends_with_the_first_look_that_does_not_find_it() -> None:
-    watch = Watch()
+    watch = AvoidanceTracker()
     watch.look(frozenset({"s0", "s1"}), 10.0)
     watch.look(frozenset({"s0"}), 11.0)
     watch.look(frozenset({"s0", "s1"}), 12.0)
@@ -78,4 +78,4 @@
     node.demand = {"!s0": 1.0}
     assert tellings(0.0) == [{"!s0": 1.0}]
     node.demand = {}
-    assert tellings(LEASE) == [{}] and tellings(2 * LEASE) == []
+    assert tellings(LEASE_S) == [{}] and tellings(2 * LEASE_S) == []
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -11,42 +11,42 @@
 from hypothesis import strategies as st
 
 from harepick.counters import Counters
-from harepick.fleet.limits.callers import Callers
-from harepick.fleet.limits.purse import Bucket, Limit, Purse, within
-from harepick.fleet.limits.rule import (
-    BASE,
-    MOST_NAMED,
+from harepick.fleet.limits.caller_buckets import CallerBuckets
+from harepick.fleet.limits.limit_buckets import Bucket, Limit, LimitBuckets, in_networks
+from harepick.fleet.limits.manager import LimitInputs, LimitManager
+from harepick.fleet.limits.policy import (
+    BASE_SHARE,
+    MAX_NAMED,
     RESERVE,
-    Sight,
+    FleetState,
     budgets,
     steps,
     targets,
     whole_targets,
 )
 from harepick.fleet.limits.screen import FleetScreen
-from harepick.fleet.limits.settings import VerdictPlan
-from harepick.fleet.limits.shares import RefusedSplitError, Settle, Shares, Split
-from harepick.fleet.limits.steward import Facts, LimitSteward
-from harepick.fleet.limits.verdicts import BLOCKED, FAILED, Judge, Lift, Verdicts
+from harepick.fleet.limits.settings import VerdictSettings
+from harepick.fleet.limits.shares import RefusedSplitError, ReleaseOwed, Shares, Split
+from harepick.fleet.limits.verdicts import BLOCKED, FAILED, IssueVerdict, LiftVerdict, Verdicts
 from harepick.log import Log
-from harepick.settings import SettingsError, read_operator, read_shared
-from harepick.store.machine import Envelope, Machine, Put, Refused, Shared, encode
+from harepick.settings import SettingsError, read_operator_file, read_store_config
+from harepick.store.state_machine import Envelope, Put, Refused, StateMachine, StepApplied, encode
 
 NAMES = ("a", "b", "c")
 LIVE = frozenset(NAMES)
 
 
-def sight(demand: dict[str, float], live: frozenset[str] = LIVE, settled: bool = True) -> Sight:
+def sight(demand: dict[str, float], live: frozenset[str] = LIVE, settled: bool = True) -> FleetState:
     rows = {name: {"x": d} for name, d in demand.items()}
-    return Sight("a", 1, live, rows, lambda index: [] if settled else ["b"])
+    return FleetState("a", 1, live, rows, lambda index: [] if settled else ["b"])
 
 
-def decide(shares: Shares, budgets: dict[str, float], seen: Sight) -> Any:
+def decide(shares: Shares, budgets: dict[str, float], seen: FleetState) -> Any:
     """The step that is due first."""
     return next(iter(steps(shares, budgets, seen)), None)
 
 
-def settle(shares: Shares, seen: Sight, budget: float = 90.0, most: int = 30) -> list[Any]:
+def settle(shares: Shares, seen: FleetState, budget: float = 90.0, most: int = 30) -> list[Any]:
     steps: list[Any] = []
     while (step := decide(shares, {"x": budget}, seen)) is not None:
         shares.apply(len(steps) + 1, step)
@@ -71,7 +71,11 @@
     for index, (kind, wanted) in enumerate(steps, 1):
         known = shares.get("x")
         before = shares.dump()
-        step = Split("x", 100.0, wanted, known.version, 0) if kind == "split" else Settle("x", known.version)
+        step = (
+            Split("x", 100.0, wanted, known.version, 0)
+            if kind == "split"
+            else ReleaseOwed("x", known.version)
+        )
         try:
             shares.apply(index, step)
         except RefusedSplitError:
@@ -128,18 +132,18 @@
 
 
 def test_a_split_of_another_version_or_revision_changes_nothing() -> None:
-    machine = Machine()
+    machine = StateMachine()
     machine.apply(1, encode(Envelope("", 0, Put("x"))))
 
     def apply(index: int, body: Any) -> Any:
         return machine.apply(index, encode(Envelope("", 0, body)))
 
-    assert isinstance(apply(2, Split("x", 10.0, {"a": 10.0}, 0, 1)), Shared)
+    assert isinstance(apply(2, Split("x", 10.0, {"a": 10.0}, 0, 1)), StepApplied)
     assert isinstance(apply(3, Split("x", 10.0, {"b": 10.0}, 0, 1)), Refused)
     assert isinstance(apply(4, Split("x", 10.0, {"b": 10.0}, 1, 0)), Refused)
     assert isinstance(apply(5, Split("x", 10.0, {"b": 10.0}, 1, 1)), Refused), "ceilings of 20"
-    apply(6, Judge(FAILED, "s0", "a", 1.0, 5.0))
-    copy = Machine()
+    apply(6, IssueVerdict(FAILED, "s0", "a", 1.0, 5.0))
+    copy = StateMachine()
     copy.restore(machine.snapshot())
     assert (copy.shares.dump(), copy.verdicts.dump()) == (machine.shares.dump(), machine.verdicts.dump())
 
@@ -186,7 +190,7 @@
 
 
 def test_a_call_takes_a_token_of_each_limit_that_it_meets_or_none() -> None:
-    purse = Purse()
+    purse = LimitBuckets()
     purse.configure([Limit("all", 10.0, prefixes=("+94",)), Limit("one", 1.0, prefixes=("+9411",))])
     purse.hold({"all": 10.0, "one": 1.0}, 0.0)
     assert purse.spend("+94112", "", "", 1.0) == (None, ["all", "one"])
@@ -200,7 +204,7 @@
 
 
 def test_without_a_share_nothing_passes_and_a_changed_limit_keeps_its_tokens() -> None:
-    purse = Purse()
+    purse = LimitBuckets()
     purse.configure([Limit("x", 10.0, prefixes=("+94",))])
     assert purse.spend("+94", "", "", 5.0)[0] is not None
     purse.hold({"x": 10.0}, 5.0)
@@ -212,8 +216,8 @@
     limit = Limit("x", 1.0, callers=("10.0.0.0/8",), call_class="look-up")
     assert limit.meets("+94", "look-up", "10.1.2.3")
     assert not limit.meets("+94", "look-up", "11.1.2.3") and not limit.meets("+94", "other", "10.1.2.3")
-    assert not limit.meets("+94", "look-up", "") and within("::1", ("::/64",))
-    purse = Purse()
+    assert not limit.meets("+94", "look-up", "") and in_networks("::1", ("::/64",))
+    purse = LimitBuckets()
     purse.configure([limit])
     for n in range(400):
         purse.spend("+94", "look-up", "10.0.0.1", n / 100)
@@ -239,13 +243,13 @@
     calls: list[tuple[float, str, float | None]], most: int
 ) -> None:
     """However small the table is, and however the base moves: against a bucket that forgets nobody."""
-    table, burst = Callers(1.0, most), 1.0
+    table, burst = CallerBuckets(1.0, most), 1.0
     exact: dict[str, Bucket] = {}
     now, base = 0.0, 2.0
     table.set(base, {}, now)
 
     def cap() -> float:
-        return max(1.0, base / BASE * burst)
+        return max(1.0, base / BASE_SHARE * burst)
 
     for passed, caller, changed in calls:
         now += passed
@@ -271,7 +275,7 @@
 
 
 def test_a_caller_by_name_gets_its_share_beside_the_base_and_is_told_of_while_it_wants_more() -> None:
-    purse = Purse()
+    purse = LimitBuckets()
     purse.configure([Limit("x", 40.0, burst_s=0.5, each=True)])
     purse.hold({"x@*": 2.0, "x@u": 6.0}, 0.0)
     passed = [0, 0]
@@ -298,7 +302,7 @@
     demands = {"a": {f"x@u{n}": 10.0 + n for n in range(40)}, "b": {"x@u0": 100.0, "y": 3.0}}
     found = budgets({"x": 20.0, "y": 5.0}, frozenset("x"), shares, demands)
     named = [key for key in found if key.startswith("x@u")]
-    assert found["x@*"] == BASE * 20.0 and found["y"] == 5.0 and len(named) == MOST_NAMED
+    assert found["x@*"] == BASE_SHARE * 20.0 and found["y"] == 5.0 and len(named) == MAX_NAMED
     assert named[0] == "x@u0" and set(named) == {"x@u0", *(f"x@u{n}" for n in range(9, 40))}
     assert all(found[key] + found["x@*"] == 20.0 for key in named)
     shares.apply(1, Split("x@u8", 15.0, {"a": 15.0}, 0, 1))
@@ -319,7 +323,7 @@
 
 
 def test_the_screen_gives_a_token_back_if_a_gap_refuses_and_blocks_callers() -> None:
-    purse, gaps = Purse(), Gaps()
+    purse, gaps = LimitBuckets(), Gaps()
     admitted: list[str] = []
     purse.configure([Limit("x", 1.0, prefixes=("+94",))])
     screen = FleetScreen(purse, lambda: 1.0, admitted.append)
@@ -339,16 +343,16 @@
 
 def test_a_verdict_is_renewed_under_its_number_and_ends_once() -> None:
     verdicts = Verdicts()
-    assert verdicts.apply(1, Judge(FAILED, "s0", "a", 2.0, 5.0)) == (1, "")
-    assert verdicts.apply(2, Judge(FAILED, "s0", "b", 3.0, 5.0)) == (1, "")
-    assert verdicts.apply(3, Judge(BLOCKED, "10.0.0.0/8", "b", 0.0, 5.0)) == (2, "")
+    assert verdicts.apply(1, IssueVerdict(FAILED, "s0", "a", 2.0, 5.0)) == (1, "")
+    assert verdicts.apply(2, IssueVerdict(FAILED, "s0", "b", 3.0, 5.0)) == (1, "")
+    assert verdicts.apply(3, IssueVerdict(BLOCKED, "10.0.0.0/8", "b", 0.0, 5.0)) == (2, "")
     assert verdicts.subjects(FAILED) == {"s0"} and verdicts.subjects(BLOCKED) == {"10.0.0.0/8"}
     known = verdicts.get(1)
     assert known and (known.origin, known.version, known.index) == ("b", 2, 2)
-    assert verdicts.apply(4, Lift(1)) == (1, "")
-    assert verdicts.apply(5, Lift(1))[0] == 0
-    assert verdicts.apply(6, Judge("mood", "s0", "a", 0.0, 5.0))[0] == 0
-    assert verdicts.apply(7, Judge(FAILED, "s0", "a", 0.0, 0.0))[0] == 0
+    assert verdicts.apply(4, LiftVerdict(1)) == (1, "")
+    assert verdicts.apply(5, LiftVerdict(1))[0] == 0
+    assert verdicts.apply(6, IssueVerdict("mood", "s0", "a", 0.0, 5.0))[0] == 0
+    assert verdicts.apply(7, IssueVerdict(FAILED, "s0", "a", 0.0, 0.0))[0] == 0
     assert verdicts.version == 4
 
 
@@ -380,7 +384,7 @@
 )
 def test_a_faulty_limit_names_its_key(text: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
-        read_shared((text + "\n" + SHARED) if text[0] != "[" else SHARED + text)
+        read_store_config((text + "\n" + SHARED) if text[0] != "[" else SHARED + text)
     assert f"setting {key} " in str(caught.value), caught.value
 
 
@@ -388,8 +392,8 @@
     path = tmp_path / "own.toml"
     path.write_text(SHARED + '[[limit]]\nid = "x"\nper_s = 1\nprefix = "+94"\n')
     with pytest.raises(SettingsError, match="setting limit belongs in the store's configuration"):
-        read_operator(str(path))
-    assert read_shared(path.read_text()).limits == (Limit("x", 1.0, prefixes=("+94",)),)
+        read_operator_file(str(path))
+    assert read_store_config(path.read_text()).limits == (Limit("x", 1.0, prefixes=("+94",)),)
 
 
 # Calls under way
@@ -398,9 +402,11 @@
 def test_room_at_a_server_is_shared_in_whole_ones_and_rests_before_it_moves() -> None:
     shares = Shares()
 
-    def seen(demand: dict[str, float], rested: bool) -> Sight:
+    def seen(demand: dict[str, float], rested: bool) -> FleetState:
         base = sight(demand)
-        return Sight("a", 1, LIVE, base.demands, base.waits, frozenset({"x"}), lambda limit, index: rested)
+        return FleetState(
+            "a", 1, LIVE, base.demands, base.waits, frozenset({"x"}), lambda limit, index: rested
+        )
 
     settle(shares, seen({"a": 80.0, "b": 10.0, "c": 10.0}, True), budget=7.0)
     held = shares.get("x").shares
@@ -432,7 +438,7 @@
 )
 def test_a_faulty_limit_on_calls_under_way_names_its_key(text: str, key: str) -> None:
     with pytest.raises(SettingsError, match=rf"setting limit\[0\]\.{key} "):
-        read_shared(SHARED + f'[[limit]]\nid = "x"\n{text}\n')
+        read_store_config(SHARED + f'[[limit]]\nid = "x"\n{text}\n')
 
 
 def test_each_look_proposes_one_step_a_limit_and_what_is_furthest_off_first() -> None:
@@ -440,12 +446,12 @@
     for index, name in enumerate("xyz", 1):
         shares.apply(index, Split(name, 90.0, {"a": 30.0, "b": 30.0, "c": 30.0}, 0, 1))
     rows = {"a": {"x": 10.0, "y": 90.0, "z": 1.0}, "b": {"x": 9.0}, "c": {"x": 10.0, "z": 1.0}}
-    found = steps(shares, dict.fromkeys("xyz", 90.0), Sight("a", 1, LIVE, rows, lambda index: []))
+    found = steps(shares, dict.fromkeys("xyz", 90.0), FleetState("a", 1, LIVE, rows, lambda index: []))
     assert [step.limit for step in found] == ["y", "z"], "x is near enough"
     for index, step in enumerate(found, 4):
         shares.apply(index, step)
-    found = steps(shares, dict.fromkeys("xyz", 90.0), Sight("a", 1, LIVE, rows, lambda index: []))
-    assert [type(step) for step in found] == [Settle, Settle], "what was taken is free first"
+    found = steps(shares, dict.fromkeys("xyz", 90.0), FleetState("a", 1, LIVE, rows, lambda index: []))
+    assert [type(step) for step in found] == [ReleaseOwed, ReleaseOwed], "what was taken is free first"
 
 
 class Restless:
@@ -455,7 +461,7 @@
         self.settings = SimpleNamespace(replica="a")
         members = [SimpleNamespace(id=name) for name in NAMES]
         raft = SimpleNamespace(membership=SimpleNamespace(members=members))
-        self.node = SimpleNamespace(machine=Machine(), raft=raft, demand={})
+        self.node = SimpleNamespace(machine=StateMachine(), raft=raft, demand={})
         self.index = self.asked = 0
 
     def leases(self) -> tuple[frozenset[str], Any]:
@@ -484,11 +490,11 @@
 def test_a_verdict_ends_in_time_though_there_is_always_a_share_to_move() -> None:
     """A lift waited until no share had to move, and with many of them that was never."""
     replica = Restless()
-    facts = Facts(0, (Limit("x", 90.0, prefixes=("+",)),), VerdictPlan(), frozenset(), 2.0)
-    steward = LimitSteward(replica, Purse(), lambda: facts, Counters(), Log(fd=1))  # type: ignore[arg-type]
+    facts = LimitInputs(0, (Limit("x", 90.0, prefixes=("+",)),), VerdictSettings(), frozenset(), 2.0)
+    steward = LimitManager(replica, LimitBuckets(), lambda: facts, Counters(), Log(fd=1))  # type: ignore[arg-type]
 
     async def work() -> None:
-        await replica.change(Envelope("", 0, Judge(FAILED, "s0", "op", 0.0, 0.3)), 1.0)
+        await replica.change(Envelope("", 0, IssueVerdict(FAILED, "s0", "op", 0.0, 0.3)), 1.0)
         with anyio.move_on_after(5.0):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(steward.run)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -23,12 +23,12 @@
 from harepick.fleet.checks import run_checks
 from harepick.fleet.faults import Fault, Network
 from harepick.fleet.history import Event, merge
-from harepick.fleet.play import Play, Report
+from harepick.fleet.maintenance_rounds import MaintenanceRounds, call_until_answered
 from harepick.fleet.ports import HOST
 from harepick.fleet.processes import ROOT, udp_owner
 from harepick.fleet.relay import Relay, RelayError, on_loopback, store_speaker
+from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario, read_scenario
-from harepick.fleet.upkeep import Upkeep, steady
 from harepick.store.wire import LENGTH, Hello, frame
 from tests.peers import until
 
@@ -258,10 +258,10 @@
 """
 
 
-def play(folder: Path, text: str, seed: int = 1, upkeep: Upkeep | None = None) -> Report:
+def play(folder: Path, text: str, seed: int = 1, upkeep: MaintenanceRounds | None = None) -> Report:
     scenario = make_scenario(tomllib.loads(text), "test")
     beside = upkeep.run if upkeep else None
-    return anyio.run(Play(scenario, seed, folder, beside=beside).run)
+    return anyio.run(ScenarioRunner(scenario, seed, folder, beside=beside).run)
 
 
 def fails(report: Report) -> dict[str, Any]:
@@ -326,7 +326,7 @@
 
 @pytest.mark.fleet
 def test_a_server_goes_out_while_one_instance_is_cut_off_one_way(tmp_path: Path) -> None:
-    upkeep = Upkeep(BOTH, work=0.5, begin=4.05)
+    upkeep = MaintenanceRounds(BOTH, work=0.5, begin=4.05)
     report = play(tmp_path, DRAIN, upkeep=upkeep)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
@@ -339,7 +339,9 @@
 @pytest.mark.fleet
 def test_its_twin_without_the_confirmation_is_found_out(tmp_path: Path) -> None:
     doubles = "".join(f'{name} = "skip-confirmation"\n' for name in "abc")
-    report = play(tmp_path, DRAIN + "[double]\n" + doubles, upkeep=Upkeep(BOTH, work=0.5, begin=4.05))
+    report = play(
+        tmp_path, DRAIN + "[double]\n" + doubles, upkeep=MaintenanceRounds(BOTH, work=0.5, begin=4.05)
+    )
     assert not report.ok and not report.error
     assert fails(report).keys() == {"no_fresh_to_out"}, fails(report)
     late = [v.stretch[-1] for v in report.told if v.stretch[-1].event == "left"]
@@ -385,7 +387,7 @@
 def test_controllers_hand_their_callers_over_while_a_server_fails_and_the_plan_changes(
     tmp_path: Path,
 ) -> None:
-    upkeep = Upkeep(ASKED, work=0.5, begin=1.0)
+    upkeep = MaintenanceRounds(ASKED, work=0.5, begin=1.0)
     report = play(tmp_path, HANDED, upkeep=upkeep)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
@@ -401,7 +403,9 @@
 def test_its_twin_that_drops_its_callers_is_found_out(tmp_path: Path) -> None:
     doubles = "".join(f'{name} = "skip-handover"\n' for name in "abc")
     calm = HANDED[: HANDED.index("[[fault]]")] + HANDED[HANDED.index("[checks]") :]
-    report = play(tmp_path, calm + "[double]\n" + doubles, upkeep=Upkeep(ASKED, work=0.5, begin=1.0))
+    report = play(
+        tmp_path, calm + "[double]\n" + doubles, upkeep=MaintenanceRounds(ASKED, work=0.5, begin=1.0)
+    )
     assert not report.ok and not report.error
     assert fails(report).keys() == {"handover"}, fails(report)
 
@@ -637,7 +641,9 @@
 @pytest.mark.fleet
 def test_an_instance_that_lost_its_folder_acts_on_nothing_under_its_old_name(tmp_path: Path) -> None:
     """With another one paused there is no majority: nothing is served, and nothing is acknowledged."""
-    report = anyio.run(Play(read_scenario(str(ROOT / "deploy/scenarios/lost-folder.toml")), 1, tmp_path).run)
+    report = anyio.run(
+        ScenarioRunner(read_scenario(str(ROOT / "deploy/scenarios/lost-folder.toml")), 1, tmp_path).run
+    )
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
     (wiped,) = [e.mono for e in report.events if e.event == "process" and e["what"] == "wipe"]
@@ -705,28 +711,28 @@
 """
 
 
-async def ask_and_look(play: Play, machine: str, until: float) -> list[dict[str, Any]]:
+async def ask_and_look(play: ScenarioRunner, machine: str, until: float) -> list[dict[str, Any]]:
     """Asks for a machine right away, and tells how its order stood at each look; cancels it at the end."""
     seen = []
     async with play.client() as client:
-        found = await steady(client, "maint_request", {"machine": machine, "reason": "upkeep"})
+        found = await call_until_answered(client, "maint_request", {"machine": machine, "reason": "upkeep"})
         with anyio.move_on_after(until):
             while True:
-                listed = await steady(client, "maint_list", {})
+                listed = await call_until_answered(client, "maint_list", {})
                 seen += [row for row in listed["orders"] if row["order"] == found["order"]]
                 await anyio.sleep(0.1)
-        await steady(client, "maint_cancel", {"order": found["order"]})
+        await call_until_answered(client, "maint_cancel", {"order": found["order"]})
     return seen
 
 
 def play_pulses(folder: Path, more: str = "") -> tuple[Report, list[dict[str, Any]]]:
     seen: list[dict[str, Any]] = []
 
-    async def beside(play: Play) -> None:
+    async def beside(play: ScenarioRunner) -> None:
         seen.extend(await ask_and_look(play, "server:s0", 6.0))
 
     scenario = make_scenario(tomllib.loads(PULSES + more), "test")
-    return anyio.run(Play(scenario, 1, folder, beside=beside).run), seen
+    return anyio.run(ScenarioRunner(scenario, 1, folder, beside=beside).run), seen
 
 
 @pytest.mark.fleet
--- a/tests/test_gap_daemons.py
+++ b/tests/test_gap_daemons.py
@@ -13,7 +13,7 @@
 import pytest
 
 from benchmarks.daemons import Cluster, config_text
-from harepick.gapping.config import Row
+from harepick.gapping.config import GapRow
 from tests.dnspeers import Client, Upstream
 from tests.peers import until
 
@@ -102,7 +102,7 @@
 
 
 def test_an_end_by_command_takes_the_place_of_one_written_by_hand() -> None:
-    from harepick.cli.rows import changed
+    from harepick.cli.toml_rows import changed
 
     text = '[[gap]]\nid = "a"\nprefix = "+1"\ninterval_s = 1\nfor_s = 60\n'
     assert changed(text, "gap", {"id": "a", "until": 5.0}, ("for_s",)).count("for_s") == 0
@@ -112,7 +112,11 @@
 def test_what_became_of_gaps_from_one_revision_to_the_next() -> None:
     from harepick.cli.gap import _news
 
-    one, two, changed = Row("a", 1.0, prefix="+1"), Row("b", 1.0, prefix="+2"), Row("a", 2.0, prefix="+1")
+    one, two, changed = (
+        GapRow("a", 1.0, prefix="+1"),
+        GapRow("b", 1.0, prefix="+2"),
+        GapRow("a", 2.0, prefix="+1"),
+    )
     assert _news({}, {"a": one}) == [("set", one)]
     assert _news({"a": one, "b": two}, {"a": changed}) == [("lifted", two), ("changed", changed)]
     assert _news({"a": one}, {"a": one}) == []
--- a/tests/test_gap_screen.py
+++ b/tests/test_gap_screen.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from harepick.gapping.config import Row, read_rows
+from harepick.gapping.config import GapRow, read_rows
 from harepick.gapping.gaps import GapError
 from harepick.gapping.screen import GapScreen
-from harepick.gapping.since import dated
+from harepick.gapping.start_times import with_start_times
 
 CLAIM = "+94112345678"
 
@@ -20,7 +20,7 @@
     return told is not None and rest - 1e-9 <= told < rest + interval
 
 
-def rows(*written: dict[str, object]) -> tuple[Row, ...]:
+def rows(*written: dict[str, object]) -> tuple[GapRow, ...]:
     return read_rows(list(written), "gaps", "e164")
 
 
@@ -152,16 +152,22 @@
 
 def test_for_s_is_dated_once_and_goes_on_whatever_else_changes() -> None:
     plain = "# as written\n" + gap("a") + gap("b", until=900)
-    assert dated(plain, "", 100.0) == plain, "nothing to date: not a letter changes"
-    first = dated("# as written\n" + gap("a", for_s=60), "", 100.0)
+    assert with_start_times(plain, "", 100.0) == plain, "nothing to date: not a letter changes"
+    first = with_start_times("# as written\n" + gap("a", for_s=60), "", 100.0)
     assert first.startswith("# as written\n") and "since = 100.0" in first
-    again = dated(gap("b", for_s=5) + gap("a", for_s=60), first, 130.0)
+    again = with_start_times(gap("b", for_s=5) + gap("a", for_s=60), first, 130.0)
     assert "since = 100.0" in again and "since = 130.0" in again
-    assert "since = 100.0" in dated(gap("a", for_s=90), first, 130.0), "changed while it runs: it goes on"
-    assert "since = 100.0" in dated(gap("a", for_s=60), first, 170.0), "the same again: it stays over"
-    assert "since = 170.0" in dated(gap("a", for_s=90), first, 170.0), "changed after its end: anew"
+    assert "since = 100.0" in with_start_times(gap("a", for_s=90), first, 130.0), (
+        "changed while it runs: it goes on"
+    )
+    assert "since = 100.0" in with_start_times(gap("a", for_s=60), first, 170.0), (
+        "the same again: it stays over"
+    )
+    assert "since = 170.0" in with_start_times(gap("a", for_s=90), first, 170.0), (
+        "changed after its end: anew"
+    )
     told = gap("a", for_s=60, since=7.0)
-    assert dated(told, first, 170.0) == told, "what is told is not told otherwise"
+    assert with_start_times(told, first, 170.0) == told, "what is told is not told otherwise"
 
 
 def test_since_says_when_a_gap_began_and_ends_it_in_time() -> None:
--- a/tests/test_gap_shares.py
+++ b/tests/test_gap_shares.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harepick.gapping.gaps import Owner
-from harepick.gapping.shares import MOST_BLOCK, Allotment, Ask, Block
-from harepick.gapping.turns import Turns
+from harepick.gapping.gaps import SlotOwnership
+from harepick.gapping.slot_allocation import MAX_BLOCK, SlotAllocator, SlotBlock, SlotRequest
+from harepick.gapping.slot_requests import SlotRequester
 
 ASKS = st.lists(
     st.tuples(st.sampled_from("abcde"), st.sampled_from(["g", "h"]), st.integers(0, 200), st.floats(0, 500)),
@@ -23,27 +23,27 @@
 def test_no_slot_has_two_owners_and_no_block_begins_before_its_ask(
     asks: list[tuple[str, str, int, float]],
 ) -> None:
-    allotment = Allotment()
-    given_out: dict[str, list[Block]] = {"g": [], "h": []}
+    allotment = SlotAllocator()
+    given_out: dict[str, list[SlotBlock]] = {"g": [], "h": []}
     for instance, gap, first, demand in asks:
-        block = allotment.apply(Ask(instance, gap, first, demand))
-        assert block.first >= first and 1 <= block.length <= MOST_BLOCK
+        block = allotment.apply(SlotRequest(instance, gap, first, demand))
+        assert block.first >= first and 1 <= block.length <= MAX_BLOCK
         assert all(block.first >= other.end or block.end <= other.first for other in given_out[gap])
         given_out[gap].append(block)
 
 
 def test_every_replica_that_applies_the_same_asks_comes_to_the_same_owners() -> None:
     rng = random.Random(3)
-    asks = [Ask(rng.choice("abc"), "g", rng.randint(0, 50), rng.random() * 10) for _ in range(500)]
-    one, two = Allotment(), Allotment()
+    asks = [SlotRequest(rng.choice("abc"), "g", rng.randint(0, 50), rng.random() * 10) for _ in range(500)]
+    one, two = SlotAllocator(), SlotAllocator()
     assert [one.apply(a) for a in asks] == [two.apply(a) for a in asks]
 
 
 def test_slots_go_in_proportion_to_demand() -> None:
-    allotment, owned = Allotment(), {"busy": 0, "quiet": 0}
+    allotment, owned = SlotAllocator(), {"busy": 0, "quiet": 0}
     for n in range(400):
         name, demand = ("busy", 30.0) if n % 2 else ("quiet", 10.0)
-        owned[name] += allotment.apply(Ask(name, "g", 0, demand)).length
+        owned[name] += allotment.apply(SlotRequest(name, "g", 0, demand)).length
     assert 2.5 < owned["busy"] / owned["quiet"] < 3.5
 
 
@@ -51,7 +51,7 @@
     """Three instances ask again each time they hold less than two slots ahead; one dies at slot 100. From
     then on the slots it owns go unused, no more than it held then; no slot passes twice."""
     rng = random.Random(1)
-    allotment = Allotment()
+    allotment = SlotAllocator()
     alive = set("abc")
     passes: dict[int, list[str]] = {}
     lost_after = 0
@@ -65,29 +65,29 @@
             held_then = sum(1 for s in range(100, 300) if owns("c", s))
         for name in sorted(alive):
             if max((block.end for block in allotment.blocks("g", name)), default=slot) - slot < 2:
-                allotment.apply(Ask(name, "g", slot + 1, rng.uniform(5, 15)))
+                allotment.apply(SlotRequest(name, "g", slot + 1, rng.uniform(5, 15)))
         for name in sorted(alive):
             if owns(name, slot):
                 passes.setdefault(slot, []).append(name)
         if slot >= 100 and owns("c", slot):
             lost_after += 1
     assert all(len(names) == 1 for names in passes.values())
-    assert lost_after == held_then <= 2 * MOST_BLOCK
+    assert lost_after == held_then <= 2 * MAX_BLOCK
     used = sum(1 for s in range(100, 300) if s in passes)
     assert used >= 200 - lost_after - 1
 
 
 def test_the_store_s_machine_grants_turns_and_a_snapshot_keeps_the_allotment() -> None:
-    from harepick.store.machine import AskTurns, Envelope, Granted, Machine, encode
+    from harepick.store.state_machine import Envelope, RequestSlots, SlotsGranted, StateMachine, encode
 
-    one = Machine()
-    first = one.apply(1, encode(Envelope("", 0, AskTurns("a", "radio", 10, 5.0))))
-    assert first == Granted("radio", 10, MOST_BLOCK, 1)
-    copy = Machine()
+    one = StateMachine()
+    first = one.apply(1, encode(Envelope("", 0, RequestSlots("a", "radio", 10, 5.0))))
+    assert first == SlotsGranted("radio", 10, MAX_BLOCK, 1)
+    copy = StateMachine()
     copy.restore(one.snapshot())
-    after = [m.apply(2, encode(Envelope("", 0, AskTurns("b", "radio", 0, 5.0)))) for m in (one, copy)]
-    assert after[0] == after[1] == Granted("radio", 10 + MOST_BLOCK, MOST_BLOCK // 2, 2)
-    assert copy.turns.blocks("radio", "a") == [Block("radio", "a", 10, MOST_BLOCK)]
+    after = [m.apply(2, encode(Envelope("", 0, RequestSlots("b", "radio", 0, 5.0)))) for m in (one, copy)]
+    assert after[0] == after[1] == SlotsGranted("radio", 10 + MAX_BLOCK, MAX_BLOCK // 2, 2)
+    assert copy.turns.blocks("radio", "a") == [SlotBlock("radio", "a", 10, MAX_BLOCK)]
 
 
 def test_two_screens_on_one_allotment_pass_one_call_a_slot_between_them() -> None:
@@ -96,10 +96,10 @@
     from harepick.gapping.config import read_rows
     from harepick.gapping.screen import GapScreen
 
-    allotment = Allotment()
+    allotment = SlotAllocator()
     rows = read_rows([{"id": "radio", "number": "+94112345678", "interval_s": 0.5}], "gaps", "e164")
 
-    def owner(name: str) -> Owner:
+    def owner(name: str) -> SlotOwnership:
         def owns(gap: str, slot: int) -> bool:
             return any(slot in block for block in allotment.blocks(gap, name))
 
@@ -115,7 +115,7 @@
         for name in "ab":
             held = allotment.blocks("radio", name)
             if max((b.end for b in held), default=slot) - slot < 2:
-                allotment.apply(Ask(name, "radio", slot + 1, 100.0))
+                allotment.apply(SlotRequest(name, "radio", slot + 1, 100.0))
             if screens[name].refuses("+94112345678", "", now) is None:
                 passes[slot] = passes.get(slot, 0) + 1
         now += 0.01
@@ -125,8 +125,8 @@
 
 def test_turns_are_asked_for_where_calls_come_and_not_on_a_restart_s_slot() -> None:
     """Two instances on one allotment, demand at the first, then at the second, asked 20 times a second."""
-    allotment, now = Allotment(), 1000.0
-    turns = {name: Turns(name, allotment.blocks, now) for name in "ab"}
+    allotment, now = SlotAllocator(), 1000.0
+    turns = {name: SlotRequester(name, allotment.blocks, now) for name in "ab"}
     offered = dict.fromkeys("ab", 0)
     used: dict[int, str] = {}
     asks = 0
@@ -145,14 +145,14 @@
     assert 2000 not in used, "the slot in which the process started"
     assert set(used.values()) == {"a", "b"} and len(used) > 0.85 * 80
     assert asks < 80, "more than one message a slot"
-    after = Turns("a", allotment.blocks, 1010.0)
+    after = SlotRequester("a", allotment.blocks, 1010.0)
     list(after.asks(1010.0, [("radio", 0.5, 1)]))
     assert not after.owns("radio", 2020)
 
 
 def test_another_interval_has_other_turns() -> None:
-    allotment = Allotment()
-    turns = Turns("a", allotment.blocks, 900.0)
+    allotment = SlotAllocator()
+    turns = SlotRequester("a", allotment.blocks, 900.0)
     for now in (1000.0, 1000.1):
         for ask in turns.asks(now, [("radio", 0.5, 5)]):
             allotment.apply(ask)
--- a/tests/test_gaps.py
+++ b/tests/test_gaps.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from harepick.gapping.gaps import NONE, Call, Gap, GapError, Gaps
+from harepick.gapping.gaps import BLOCK_ALL, Call, Gap, GapError, Gaps
 
 CLAIM = "+94112345678"
 
@@ -37,7 +37,7 @@
 
 def test_a_gap_that_ends_as_a_call_comes_lets_it_pass() -> None:
     gaps = Gaps()
-    gaps.set(Gap("g", NONE, number=CLAIM, end=20.0), 0.0)
+    gaps.set(Gap("g", BLOCK_ALL, number=CLAIM, end=20.0), 0.0)
     assert passed(gaps, CLAIM, 19.999, 20.0) == [False, True]
     assert [gap.id for gap in gaps.expire(20.0)] == ["g"] and not len(gaps)
 
@@ -57,7 +57,7 @@
 
 def test_interval_0_with_a_narrow_criterion_exempts_a_number() -> None:
     gaps = Gaps()
-    gaps.set(Gap("district", NONE, prefix="+94"), 0.0)
+    gaps.set(Gap("district", BLOCK_ALL, prefix="+94"), 0.0)
     gaps.set(Gap("hospital", 0.0, number="+94110", inherit=False), 0.0)
     assert passed(gaps, "+94110", 1.0, 1.1) == [True, True]
     assert passed(gaps, "+94111", 1.0) == [False]
@@ -114,7 +114,7 @@
 
     @rule(
         name=st.sampled_from("abc"),
-        interval=st.sampled_from((0.0, 1.0, 2.5, NONE)),
+        interval=st.sampled_from((0.0, 1.0, 2.5, BLOCK_ALL)),
         number=st.sampled_from(("", "+9411", "+94111")),
         prefix=st.sampled_from(("+", "+94", "+941", "+9411")),
         call_class=st.sampled_from(("", "claim")),
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -9,12 +9,12 @@
 from anyio.abc import TaskGroup
 
 from harepick.core.inbox import Inbox
-from harepick.core.words import Attempt
+from harepick.core.messages import Attempt
 from harepick.counters import Counters
 from harepick.log import Log
 from harepick.net import sip
-from harepick.net.line import Line
-from harepick.net.link import SILENCE, SURE, Link
+from harepick.net.connection_pool import FAILURE_CONFIRM_S, SERVER_SILENCE_S, ConnectionPool
+from harepick.net.server_connection import ServerConnection
 from harepick.settings import Address
 
 pytestmark = pytest.mark.anyio
@@ -37,15 +37,15 @@
         self.room = True
 
 
-def link() -> tuple[Link, Owner, Line]:
+def link() -> tuple[ConnectionPool, Owner, ServerConnection]:
     """A link on which one call stands, at a server that has been silent for too long."""
     owner = Owner()
-    made = Link(owner, cast(TaskGroup, None), "s0", Address("127.0.0.1", 5))
-    line = Line(made)
+    made = ConnectionPool(owner, cast(TaskGroup, None), "s0", Address("127.0.0.1", 5))
+    line = ServerConnection(made)
     line.up = True
     made._lines.append(line)
     made.stands("c1", b"77", line)
-    made.heard = time.time() - SILENCE - 1.0
+    made.heard = time.time() - SERVER_SILENCE_S - 1.0
     return made, owner, line
 
 
@@ -54,9 +54,9 @@
     told it, seconds later."""
     made, owner, _ = link()
     made._failure()
-    made.came_up(Line(made))
+    made.came_up(ServerConnection(made))
     assert owner.counters["servers.died"] == 0
-    time.sleep(SURE + 0.01)
+    time.sleep(FAILURE_CONFIRM_S + 0.01)
     made._failure()
     assert owner.counters["servers.died"] == 1 and not made.standing
 
@@ -65,7 +65,7 @@
     made, owner, _ = link()
     made._failure()
     made.heard = time.time()
-    time.sleep(SURE + 0.01)
+    time.sleep(FAILURE_CONFIRM_S + 0.01)
     made._failure()
     assert owner.counters["servers.died"] == 0 and made.standing
 
@@ -78,7 +78,7 @@
     line.heard = time.time()
     for message in sip.Decoder().feed(error):
         await line._take(message)
-    time.sleep(SURE + 0.01)
+    time.sleep(FAILURE_CONFIRM_S + 0.01)
     made._failure()
     assert owner.counters["servers.died"] == 1
 
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -5,9 +5,9 @@
 from harepick import interface as i
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
-from harepick.core.words import Allot, Attempt, AttemptOver, CallerGone, Offer, Told
+from harepick.core.messages import Attempt, AttemptOver, CallerGone, ConcurrencyLimit, ControllerEvent, Offer
 from harepick.counters import Counters
-from harepick.directory import MOST_GONE, Directory
+from harepick.directory import MAX_GONE, Directory
 from harepick.log import Log
 from tests import peers
 from tests.world import settings
@@ -46,8 +46,8 @@
     def clashes(self) -> None: ...
 
 
-def ready(name: str, state: str = "ready") -> Told:
-    return Told(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(name, 0, state),)))
+def ready(name: str, state: str = "ready") -> ControllerEvent:
+    return ControllerEvent(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(name, 0, state),)))
 
 
 def engine() -> tuple[Engine, Port]:
@@ -83,13 +83,13 @@
     """Told after the call it named a place as free that the module had just taken: one too many was out."""
     core, port = engine()
     calls = iter([Offer(f"c{n}", "low", 0, None, 103.0, Silent(), b"") for n in range(4)])
-    core.turn([ready("s0"), Allot("s0", 1.0)])
-    core.turn([next(calls), Allot("s0", 1.0)])
+    core.turn([ready("s0"), ConcurrencyLimit("s0", 1.0)])
+    core.turn([next(calls), ConcurrencyLimit("s0", 1.0)])
     assert core.under_way("s0") == 1
     core.turn([next(calls)])
     assert core.under_way("s0") == 1 and len(port.placed) == 1
     # The place that an end gives back in that batch is given back once.
-    core.turn([AttemptOver(port.placed[0], i.Outcome.FULL, 3), Allot("s0", 1.0)])
+    core.turn([AttemptOver(port.placed[0], i.Outcome.FULL, 3), ConcurrencyLimit("s0", 1.0)])
     core.turn([next(calls), next(calls)])
     assert core.under_way("s0") <= 1
 
@@ -99,4 +99,4 @@
     for n in range(1, 400, 2):
         directory.apply(peers.event(n, peers.row(f"s{n}", "127.0.0.1:5", 0)))
         directory.apply(peers.event(n + 1, peers.row(f"s{n}", "127.0.0.1:5", 0, "DELETED")))
-    assert len(directory.entries()) <= MOST_GONE
+    assert len(directory.entries()) <= MAX_GONE
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -14,26 +14,26 @@
 from harepick.fleet.maintenance.orders import (
     CONTROLLER,
     SERVER,
-    AskOut,
-    Finish,
-    Idle,
-    Move,
+    AdvanceOrder,
+    CancelOrder,
+    FinishOrder,
     Order,
     Orders,
     RefusedOrderError,
-    Seat,
-    Withdraw,
+    ReportIdle,
+    RequestMaintenance,
+    SetControllerState,
 )
-from harepick.fleet.maintenance.rule import Group, Plan, Sight, decide, hold, seats, why
-from harepick.settings import SettingsError, read_shared
-from harepick.store.machine import Envelope, Machine, Ordered, Put, Refused, encode
+from harepick.fleet.maintenance.policy import FleetState, Group, MaintenanceSettings, decide, hold, seats, why
+from harepick.settings import SettingsError, read_store_config
+from harepick.store.state_machine import Envelope, OrderChanged, Put, Refused, StateMachine, encode
 
 SERVERS = frozenset(f"s{n}" for n in range(4))
 NAMES = ("a", "b", "c")
 
 
-def sight(**changes: Any) -> Sight:
-    base = Sight("a", 100.0, 1, SERVERS, frozenset(), NAMES, frozenset(NAMES), lambda index: [])
+def sight(**changes: Any) -> FleetState:
+    base = FleetState("a", 100.0, 1, SERVERS, frozenset(), NAMES, frozenset(NAMES), lambda index: [])
     return replace(base, **changes)
 
 
@@ -48,11 +48,11 @@
         return self.orders.apply(self.index, command)
 
     def ask(self, machine: str, kind: str = SERVER, **more: Any) -> int:
-        order = self.apply(AskOut(kind, machine, **more))
+        order = self.apply(RequestMaintenance(kind, machine, **more))
         assert order
         return order.id
 
-    def settle(self, plan: Plan, seen: Sight, most: int = 20) -> None:
+    def settle(self, plan: MaintenanceSettings, seen: FleetState, most: int = 20) -> None:
         """All that the rule says, until it has nothing more to say."""
         for _ in range(most):
             step = decide(self.orders, plan, seen)
@@ -70,18 +70,18 @@
 def test_first_come_first_out_within_the_budget_and_back_in_the_log_s_order() -> None:
     log, seen = Log(), sight()
     one, two, three = (log.ask(name) for name in ("s2", "s0", "s1"))
-    log.settle(Plan(max_out=2), seen)
+    log.settle(MaintenanceSettings(max_out=2), seen)
     assert [log.state(n) for n in (one, two, three)] == ["out", "out", "waiting"]
     order = log.orders.get(three)
-    assert order and "max_out is 2" in why(order, log.orders, Plan(max_out=2), seen)
-    log.apply(Finish(one))
+    assert order and "max_out is 2" in why(order, log.orders, MaintenanceSettings(max_out=2), seen)
+    log.apply(FinishOrder(one))
     assert log.orders.barred(SERVER) == {"s0"}
-    log.settle(Plan(max_out=2), seen)
+    log.settle(MaintenanceSettings(max_out=2), seen)
     assert [log.state(n) for n in (one, two, three)] == ["back", "out", "out"]
 
 
 def test_a_higher_priority_goes_before_what_waits_and_calls_nothing_back() -> None:
-    log, seen, plan = Log(), sight(), Plan()
+    log, seen, plan = Log(), sight(), MaintenanceSettings()
     first = log.ask("s0")
     log.settle(plan, seen)
     low, high = log.ask("s1"), log.ask("s2", priority=5)
@@ -89,14 +89,14 @@
     assert log.state(first) == "out"
     order = log.orders.get(low)
     assert order and "max_out" in why(order, log.orders, plan, seen)
-    log.apply(Finish(first))
+    log.apply(FinishOrder(first))
     log.settle(plan, seen)
     assert (log.state(low), log.state(high)) == ("waiting", "out")
 
 
 def test_two_requests_for_the_last_spare_one_goes_and_the_other_says_why() -> None:
     log, seen = Log(), sight()
-    plan = Plan(max_out=4, floor=3.0)
+    plan = MaintenanceSettings(max_out=4, floor=3.0)
     one, two = log.ask("s0"), log.ask("s1")
     log.settle(plan, seen)
     assert (log.state(one), log.state(two)) == ("out", "waiting")
@@ -108,7 +108,7 @@
 
 def test_a_large_server_at_the_floor_is_not_passed_over_for_ever() -> None:
     log, seen = Log(), sight()
-    plan = Plan(max_out=4, floor=3.0, capacity={"s0": 3.0})
+    plan = MaintenanceSettings(max_out=4, floor=3.0, capacity={"s0": 3.0})
     log.ask("s3")  # leaves 5 of 6
     log.settle(plan, seen)
     large, small = log.ask("s0"), log.ask("s1")
@@ -119,7 +119,7 @@
 
 
 def test_never_the_last_of_a_group_nor_of_all_and_others_pass_it() -> None:
-    plan = Plan(max_out=4, groups=(Group("Kandy", frozenset({"s0", "s1"})),))
+    plan = MaintenanceSettings(max_out=4, groups=(Group("Kandy", frozenset({"s0", "s1"})),))
     log, seen = Log(), sight()
     one, two, three = log.ask("s0"), log.ask("s1"), log.ask("s2")
     log.settle(plan, seen)
@@ -127,25 +127,25 @@
     order = log.orders.get(two)
     assert order and "last server in service of Kandy" in why(order, log.orders, plan, seen)
     four = log.ask("s3")
-    log.settle(Plan(max_out=4), seen)  # without the group: the last of all stays
+    log.settle(MaintenanceSettings(max_out=4), seen)  # without the group: the last of all stays
     assert [log.state(n) for n in (two, four)] == ["out", "waiting"]
 
 
 def test_a_failed_server_takes_no_capacity_away_and_does_not_count_as_in_service() -> None:
-    plan = Plan(max_out=2, floor=3.0)
+    plan = MaintenanceSettings(max_out=2, floor=3.0)
     log, seen = Log(), sight(failed=frozenset({"s1"}))
     healthy, failed = log.ask("s0"), log.ask("s1", priority=1)
     log.settle(plan, seen)
     assert (log.state(healthy), log.state(failed)) == ("waiting", "out")
     log, seen = Log(), sight(failed=frozenset({"s1", "s2", "s3"}))
     last = log.ask("s0")
-    log.settle(Plan(), seen)
+    log.settle(MaintenanceSettings(), seen)
     assert log.state(last) == "waiting", "the only one that still serves was taken out"
 
 
 def test_one_that_is_full_for_a_moment_has_not_failed_and_does_not_count_as_in_service() -> None:
     """Shut by its occupancy at the leader, a sound server went as if it had failed, the last of its group."""
-    plan = Plan(max_out=4, floor=1.0, groups=(Group("Kandy", frozenset({"s0", "s1"})),))
+    plan = MaintenanceSettings(max_out=4, floor=1.0, groups=(Group("Kandy", frozenset({"s0", "s1"})),))
     log, seen = Log(), sight(pressed=frozenset({"s0"}))
     one, two, three = log.ask("s0"), log.ask("s1"), log.ask("s2")
     log.settle(plan, seen)
@@ -163,11 +163,11 @@
 
 
 def test_a_window_opens_and_closes_and_holds_nobody_else_back() -> None:
-    log, plan = Log(), Plan()
+    log, plan = Log(), MaintenanceSettings()
     later, now = log.ask("s0", opens=200.0, closes=300.0), log.ask("s1")
     log.settle(plan, sight(now=100.0))
     assert (log.state(later), log.state(now)) == ("waiting", "out")
-    log.apply(Finish(now))
+    log.apply(FinishOrder(now))
     log.settle(plan, sight(now=300.0))
     assert log.state(later) == "waiting"
     order = log.orders.get(later)
@@ -177,7 +177,7 @@
 
 
 def test_a_server_is_out_only_when_nobody_may_act_on_an_older_order() -> None:
-    log, plan = Log(), Plan()
+    log, plan = Log(), MaintenanceSettings()
     number = log.ask("s0")
     behind = sight(waits=lambda index: ["c"])
     log.settle(plan, behind)
@@ -199,7 +199,7 @@
 
 
 def test_a_controller_goes_out_idle_not_leading_and_never_costs_the_majority() -> None:
-    log, plan = Log(), Plan(max_out_controllers=3)
+    log, plan = Log(), MaintenanceSettings(max_out_controllers=3)
     b, c = log.ask("b", CONTROLLER), log.ask("c", CONTROLLER)
     log.settle(plan, sight())
     assert (log.state(b), log.state(c)) == ("leaving", "waiting")
@@ -207,7 +207,7 @@
     assert order and "a majority is 2" in why(order, log.orders, plan, sight())
     order = log.orders.get(b)
     assert order and why(order, log.orders, plan, sight()) == "b has calls under way"
-    log.apply(Idle(b, "b"))
+    log.apply(ReportIdle(b, "b"))
     assert "leads" in why(log.orders.get(b) or order, log.orders, plan, sight(name="b"))
     log.settle(plan, sight(name="b"))
     assert log.state(b) == "leaving", "it leads, and has not handed over"
@@ -222,7 +222,7 @@
 
 
 def test_a_controller_hands_over_then_closes_then_is_out_and_never_reopens_for_the_same_order() -> None:
-    log, plan, handover = Log(), Plan(), Handover()
+    log, plan, handover = Log(), MaintenanceSettings(), Handover()
 
     def stage(now: float, served: bool = True) -> str:
         handover.follow(log.orders.of(CONTROLLER, "b"), now, 1.0, served)
@@ -235,32 +235,32 @@
     log.ask("s0")  # another entry: its time does not begin anew
     assert stage(1.9) == HANDING_OVER and handover.stage(2.0) == CLOSED
     assert log.orders.given_up() == frozenset()
-    log.apply(Idle(b, "b"))
+    log.apply(ReportIdle(b, "b"))
     assert stage(2.1) == CLOSED and log.orders.given_up() == {"b"}
     log.settle(plan, sight())
     assert stage(2.2) == OUT
-    log.apply(Finish(b))
+    log.apply(FinishOrder(b))
     assert stage(2.3) == SERVING and log.orders.given_up() == frozenset()
     # A process that starts under an order has no callers, and takes none.
     log.ask("b", CONTROLLER)
     log.settle(plan, sight())
     handover = Handover()
     assert stage(3.0, served=False) == CLOSED
-    log.apply(Withdraw(log.orders.open[-1].id))
+    log.apply(CancelOrder(log.orders.open[-1].id))
     assert stage(3.1) == SERVING
 
 
 def test_what_was_idle_once_takes_nothing_though_its_time_to_hand_over_is_not_over() -> None:
     log, handover = Log(), Handover()
     b = log.ask("b", CONTROLLER)
-    log.settle(Plan(), sight())
-    log.apply(Idle(b, "b"))  # told by the process before
+    log.settle(MaintenanceSettings(), sight())
+    log.apply(ReportIdle(b, "b"))  # told by the process before
     handover.follow(log.orders.of(CONTROLLER, "b"), 0.0, 60.0, True)
     assert handover.stage(0.1) == CLOSED
 
 
 def test_a_move_decided_on_other_orders_or_another_revision_changes_nothing() -> None:
-    machine, index = Machine(), 0
+    machine, index = StateMachine(), 0
 
     def apply(body: Any) -> Any:
         nonlocal index
@@ -268,41 +268,41 @@
         return machine.apply(index, encode(Envelope("", 0, body)))
 
     apply(Put("x"))
-    first, second = apply(AskOut(SERVER, "s0")), apply(AskOut(SERVER, "s1"))
-    assert isinstance(first, Ordered) and isinstance(second, Ordered)
-    step = decide(machine.orders, Plan(), replace(sight(), live=frozenset(), controllers=()))
-    assert isinstance(step, Move) and step.order == first.order
+    first, second = apply(RequestMaintenance(SERVER, "s0")), apply(RequestMaintenance(SERVER, "s1"))
+    assert isinstance(first, OrderChanged) and isinstance(second, OrderChanged)
+    step = decide(machine.orders, MaintenanceSettings(), replace(sight(), live=frozenset(), controllers=()))
+    assert isinstance(step, AdvanceOrder) and step.order == first.order
     rival = replace_move(step, order=second.order)
-    assert isinstance(apply(step), Ordered)
+    assert isinstance(apply(step), OrderChanged)
     assert isinstance(apply(rival), Refused), "two leaders spent one budget"
     apply(Put("y"))
     stale = replace_move(step, order=second.order, expect=machine.orders.version)
     refused = apply(stale)
     assert isinstance(refused, Refused) and "revision 1" in refused.why
-    copy = Machine()
+    copy = StateMachine()
     copy.restore(machine.snapshot())
     assert copy.orders.dump() == machine.orders.dump()
     assert copy.orders.barred(SERVER) == {"s0"}
 
 
-def replace_move(step: Move, **changes: Any) -> Move:
-    fields = {name: getattr(step, name) for name in Move.__struct_fields__}
-    return Move(**(fields | changes))
+def replace_move(step: AdvanceOrder, **changes: Any) -> AdvanceOrder:
+    fields = {name: getattr(step, name) for name in AdvanceOrder.__struct_fields__}
+    return AdvanceOrder(**(fields | changes))
 
 
 @pytest.mark.parametrize(
     ("commands", "why_not"),
     [
-        ([AskOut(SERVER, "s0"), AskOut(SERVER, "s0")], "has s0 already"),
-        ([AskOut("desk", "s0")], "no kind"),
-        ([AskOut(SERVER, "s0", opens=2.0, closes=2.0)], "closes before it opens"),
-        ([Finish(1)], "no open order"),
-        ([AskOut(SERVER, "s0"), Finish(1)], "only what is out"),
-        ([AskOut(SERVER, "s0"), Move(1, "out", 1, 0, "a")], "does not become out"),
-        ([AskOut(SERVER, "s0"), Move(1, "leaving", 0, 0, "a")], "version 0"),
-        ([AskOut(SERVER, "s0"), Idle(1, "s0")], "idle"),
-        ([AskOut(SERVER, "s0"), Withdraw(1), Withdraw(1)], "no open order"),
-        ([Seat("a", "asleep", 0)], "never"),
+        ([RequestMaintenance(SERVER, "s0"), RequestMaintenance(SERVER, "s0")], "has s0 already"),
+        ([RequestMaintenance("desk", "s0")], "no kind"),
+        ([RequestMaintenance(SERVER, "s0", opens=2.0, closes=2.0)], "closes before it opens"),
+        ([FinishOrder(1)], "no open order"),
+        ([RequestMaintenance(SERVER, "s0"), FinishOrder(1)], "only what is out"),
+        ([RequestMaintenance(SERVER, "s0"), AdvanceOrder(1, "out", 1, 0, "a")], "does not become out"),
+        ([RequestMaintenance(SERVER, "s0"), AdvanceOrder(1, "leaving", 0, 0, "a")], "version 0"),
+        ([RequestMaintenance(SERVER, "s0"), ReportIdle(1, "s0")], "idle"),
+        ([RequestMaintenance(SERVER, "s0"), CancelOrder(1), CancelOrder(1)], "no open order"),
+        ([SetControllerState("a", "asleep", 0)], "never"),
     ],
 )
 def test_what_makes_no_sense_is_refused_and_changes_nothing(commands: list[Any], why_not: str) -> None:
@@ -317,11 +317,11 @@
 
 def test_membership_follows_the_leases() -> None:
     log = Log()
-    log.settle(Plan(), sight(live=frozenset({"a", "b"})))
+    log.settle(MaintenanceSettings(), sight(live=frozenset({"a", "b"})))
     assert log.orders.seats == {"a": "serving", "b": "serving", "c": "joining"}
-    log.settle(Plan(), sight(live=frozenset({"a", "c"})))
+    log.settle(MaintenanceSettings(), sight(live=frozenset({"a", "c"})))
     assert log.orders.seats == {"a": "serving", "b": "gone", "c": "serving"}
-    log.settle(Plan(), sight(controllers=("a", "c"), live=frozenset({"a", "c"})))
+    log.settle(MaintenanceSettings(), sight(controllers=("a", "c"), live=frozenset({"a", "c"})))
     assert log.orders.seats == {"a": "serving", "c": "serving"}
     assert not list(seats(log.orders, sight(controllers=("a", "c"), live=frozenset({"a", "c"}))))
 
@@ -329,7 +329,7 @@
 class Fleet(RuleBasedStateMachine):
     """Requests, ends, failures and lost leases in any order, the rule in between: what always holds."""
 
-    plan = Plan(
+    plan = MaintenanceSettings(
         max_out=2,
         max_out_controllers=1,
         floor=2.0,
@@ -344,7 +344,7 @@
         self.pressed: frozenset[str] = frozenset()
         self.live = frozenset(NAMES)
 
-    def seen(self) -> Sight:
+    def seen(self) -> FleetState:
         return sight(failed=self.failed, pressed=self.pressed - self.failed, live=self.live)
 
     @rule(name=st.sampled_from(sorted(SERVERS)), priority=st.integers(-1, 1))
@@ -361,7 +361,7 @@
     def end(self, pick: int) -> None:
         if orders := self.log.orders.open:
             order = orders[pick % len(orders)]
-            self.log.apply(Finish(order.id) if order.state == "out" else Withdraw(order.id))
+            self.log.apply(FinishOrder(order.id) if order.state == "out" else CancelOrder(order.id))
 
     @rule(name=st.sampled_from(sorted(SERVERS)))
     def fail_or_mend(self, name: str) -> None:
@@ -380,7 +380,7 @@
         found = decide(self.log.orders, self.plan, self.seen())
         if found is None:
             return
-        if isinstance(found, Move) and found.to == "leaving":
+        if isinstance(found, AdvanceOrder) and found.to == "leaving":
             order = self.log.orders.get(found.order)
             assert order and hold(order, self.log.orders, self.plan, self.seen()) is None
             if order.kind == SERVER and order.machine not in self.failed:
@@ -424,7 +424,7 @@
 )
 def test_a_faulty_plan_names_its_key(text: str, key: str) -> None:
     with pytest.raises(SettingsError) as caught:
-        read_shared(SHARED + "[maintenance]\n" + text)
+        read_store_config(SHARED + "[maintenance]\n" + text)
     assert f"setting {key} " in str(caught.value), caught.value
 
 
@@ -432,7 +432,7 @@
     text = (
         'max_out = 2\nfloor = 1.5\ncapacity = { s0 = 2 }\n[[maintenance.group]]\nname = "x"\nservers = ["s0"]'
     )
-    config = read_shared(SHARED + "[maintenance]\n" + text)
+    config = read_store_config(SHARED + "[maintenance]\n" + text)
     groups = (Group("x", frozenset({"s0"})),)
-    assert config.maintenance == Plan(2, 1, 1.5, 1.0, 2.0, {"s0": 2.0}, groups)
-    assert read_shared(SHARED).maintenance is None
+    assert config.maintenance == MaintenanceSettings(2, 1, 1.5, 1.0, 2.0, {"s0": 2.0}, groups)
+    assert read_store_config(SHARED).maintenance is None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,37 +13,45 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from harepick.fleet.membership.roster import (
+from harepick.fleet.membership.absences import (
     DROPPED,
     LEAVING,
     MOST,
     RETURNING,
-    Mark,
-    RefusedMarkError,
-    Roster,
+    AbsenceList,
+    RefusedMemberStateError,
+    SetMemberState,
 )
-from harepick.fleet.membership.rule import Add, Member, Plan, Remove, Sight, decide, stays
-from harepick.fleet.play import Play, Report
+from harepick.fleet.membership.policy import (
+    Add,
+    FleetState,
+    Member,
+    MembershipSettings,
+    Remove,
+    decide,
+    removal_blocker,
+)
+from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
-from harepick.settings import SettingsError, read_shared
-from harepick.store.machine import Envelope, Machine, Refused, Shared, encode
+from harepick.settings import SettingsError, read_store_config
+from harepick.store.state_machine import Envelope, Refused, StateMachine, StepApplied, encode
 
 NAMES = "abcde"
-PLAN = Plan(drop_after=5.0, keep=3)
+PLAN = MembershipSettings(drop_after=5.0, keep=3)
 
 
-def sight(members: str = NAMES, **changes: Any) -> Sight:
+def sight(members: str = NAMES, **changes: Any) -> FleetState:
     rows = {name: Member(f"at-{name}", True) for name in members}
-    base = Sight("a", 100.0, True, rows, {}, frozenset(), frozenset())
+    base = FleetState("a", 100.0, True, rows, {}, frozenset(), frozenset())
     return replace(base, **changes)
 
 
-def steps(roster: Roster, seen: Sight, plan: Plan = PLAN) -> list[str]:
+def steps(roster: AbsenceList, seen: FleetState, plan: MembershipSettings = PLAN) -> list[str]:
     """What the rule does one after another, carried out as the consensus core would."""
     told: list[str] = []
     while (step := decide(roster, plan, seen)) and len(told) < 20:
         match step:
-            case Mark(instance, state):
+            case SetMemberState(instance, state):
                 roster.apply(step)
                 told.append(f"{instance} {state or 'present'}")
             case Remove(instance):
@@ -58,25 +66,25 @@
 
 
 def test_two_of_five_are_dropped_one_after_another_and_no_more() -> None:
-    roster = Roster()
+    roster = AbsenceList()
     found = steps(roster, sight(gone={"d": 6.0, "e": 7.0}))
     assert found == ["e leaving", "remove e", "e dropped", "d leaving", "remove d", "d dropped"]
     # A third one that is lost stays: with two voters either's loss would stop the store.
     assert not steps(roster, sight("abc", gone={"c": 99.0}))
-    assert "2 voters would be left" in stays("c", PLAN, sight("abc", gone={"c": 99.0}))
+    assert "2 voters would be left" in removal_blocker("c", PLAN, sight("abc", gone={"c": 99.0}))
 
 
 def test_nobody_is_dropped_early_at_work_leading_or_where_it_leaves_no_majority_alive() -> None:
-    assert not steps(Roster(), sight(gone={"e": 4.9}))
-    assert not steps(Roster(), sight(gone={"e": 9.0}), Plan())
-    assert not steps(Roster(), sight(gone={"e": 9.0}, resting=frozenset("e")))
-    assert not steps(Roster(), sight(gone={"e": 9.0}, settled=False))
-    assert "no majority" in stays("e", PLAN, sight(gone={"c": 9.0, "d": 9.0, "e": 9.0}))
-    assert stays("a", PLAN, sight()) == "it leads"
+    assert not steps(AbsenceList(), sight(gone={"e": 4.9}))
+    assert not steps(AbsenceList(), sight(gone={"e": 9.0}), MembershipSettings())
+    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, resting=frozenset("e")))
+    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, settled=False))
+    assert "no majority" in removal_blocker("e", PLAN, sight(gone={"c": 9.0, "d": 9.0, "e": 9.0}))
+    assert removal_blocker("a", PLAN, sight()) == "it leads"
 
 
 def test_one_that_comes_back_is_added_under_its_old_address_and_votes_again() -> None:
-    roster = Roster()
+    roster = AbsenceList()
     steps(roster, sight(gone={"e": 6.0}))
     rest = sight("abcd")
     assert not steps(roster, rest), "it has not come back"
@@ -90,9 +98,9 @@
 
 
 def test_a_leader_lost_between_two_steps_leaves_what_the_next_one_can_end() -> None:
-    roster = Roster()
+    roster = AbsenceList()
     mark = decide(roster, PLAN, sight(gone={"e": 6.0}))
-    assert isinstance(mark, Mark)
+    assert isinstance(mark, SetMemberState)
     roster.apply(mark)
     assert steps(roster, sight()) == ["e present"], "it is back before it was removed"
     roster.apply(replace_expect(mark, roster))
@@ -102,28 +110,33 @@
     assert steps(roster, sight()) == ["e present"], "added by hand meanwhile"
 
 
-def replace_expect(mark: Mark, roster: Roster) -> Mark:
-    return Mark(mark.instance, mark.state, roster.version, address=mark.address)
+def replace_expect(mark: SetMemberState, roster: AbsenceList) -> SetMemberState:
+    return SetMemberState(mark.instance, mark.state, roster.version, address=mark.address)
 
 
 def test_the_roster_takes_no_step_that_was_decided_on_another_one_or_out_of_order() -> None:
-    machine = Machine()
+    machine = StateMachine()
 
-    def apply(mark: Mark) -> object:
+    def apply(mark: SetMemberState) -> object:
         return machine.apply(machine.applied + 1, encode(Envelope("", 0, mark)))
 
-    assert apply(Mark("e", LEAVING, 0, address="at-e")) == Shared(1)
-    for wrong in (Mark("e", DROPPED, 0), Mark("e", RETURNING, 1), Mark("d", DROPPED, 1), Mark("d", "x", 1)):
+    assert apply(SetMemberState("e", LEAVING, 0, address="at-e")) == StepApplied(1)
+    for wrong in (
+        SetMemberState("e", DROPPED, 0),
+        SetMemberState("e", RETURNING, 1),
+        SetMemberState("d", DROPPED, 1),
+        SetMemberState("d", "x", 1),
+    ):
         assert isinstance(apply(wrong), Refused)
-    assert isinstance(apply(Mark("e", DROPPED, 1)), Shared)
-    copy = Machine()
+    assert isinstance(apply(SetMemberState("e", DROPPED, 1)), StepApplied)
+    copy = StateMachine()
     copy.restore(machine.snapshot())
     assert copy.roster.dump() == machine.roster.dump() and copy.roster.absent[0].address == "at-e"
-    roster = Roster()
+    roster = AbsenceList()
     for n in range(MOST):
-        roster.apply(Mark(f"x{n}", LEAVING, n))
-    with pytest.raises(RefusedMarkError, match="forget some"):
-        roster.apply(Mark("y", LEAVING, MOST))
+        roster.apply(SetMemberState(f"x{n}", LEAVING, n))
+    with pytest.raises(RefusedMemberStateError, match="forget some"):
+        roster.apply(SetMemberState("y", LEAVING, MOST))
 
 
 @pytest.mark.parametrize(
@@ -139,9 +152,9 @@
 def test_a_faulty_plan_names_its_key(text: str, key: str) -> None:
     shared = '[[upstream]]\nname = "s0"\naddress = "127.0.0.1:1"\n[membership]\n'
     with pytest.raises(SettingsError) as caught:
-        read_shared(shared + text)
+        read_store_config(shared + text)
     assert f"setting {key} " in str(caught.value), caught.value
-    assert read_shared(shared + "drop_after_s = 60\nkeep = 4").membership == Plan(60.0, 4)
+    assert read_store_config(shared + "drop_after_s = 60\nkeep = 4").membership == MembershipSettings(60.0, 4)
 
 
 class Lives(RuleBasedStateMachine):
@@ -149,16 +162,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.roster = Roster()
+        self.roster = AbsenceList()
         self.members = {name: Member(f"at-{name}", True) for name in NAMES}
         self.gone: dict[str, float] = {}
         self.resting: frozenset[str] = frozenset()
 
-    def seen(self) -> Sight:
+    def seen(self) -> FleetState:
         up = frozenset(NAMES) - self.gone.keys()
         gone = {name: span for name, span in self.gone.items() if name in self.members}
         knocking = up - self.members.keys()
-        return Sight("a", 0.0, True, self.members, gone, knocking, self.resting)
+        return FleetState("a", 0.0, True, self.members, gone, knocking, self.resting)
 
     @rule(name=st.sampled_from(NAMES[1:]))
     def go_or_come(self, name: str) -> None:
@@ -188,7 +201,7 @@
         if found is None or lost:
             return
         match found:
-            case Mark():
+            case SetMemberState():
                 self.roster.apply(found)
             case Remove(name):
                 voters = [n for n, m in self.members.items() if m.voter and n != name]
@@ -209,11 +222,11 @@
 
     @invariant()
     def with_all_there_all_come_to_vote_again(self) -> None:
-        roster, members = Roster(self.roster.dump()), dict(self.members)
+        roster, members = AbsenceList(self.roster.dump()), dict(self.members)
         for _ in range(40):
-            seen = Sight("a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset())
+            seen = FleetState("a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset())
             found = decide(roster, PLAN, seen)
-            if isinstance(found, Mark):
+            if isinstance(found, SetMemberState):
                 roster.apply(found)
             elif isinstance(found, Add):
                 members[found.instance] = Member(found.address, True)
@@ -266,13 +279,15 @@
 
 def play(folder: Path, text: str) -> tuple[Report, list[float]]:
     """The report, and when changes were acknowledged that were begun while three of five were gone."""
-    report = anyio.run(Play(make_scenario(tomllib.loads(text), "lost"), 1, folder, beside=whole_again).run)
+    report = anyio.run(
+        ScenarioRunner(make_scenario(tomllib.loads(text), "lost"), 1, folder, beside=whole_again).run
+    )
     begun = {e["note"]: e.mono - report.start for e in report.events if e.event == "change"}
     acks = [e.mono - report.start for e in report.events if e.event == "acked" and begun[e["note"]] > 7.6]
     return report, [at for at in acks if at < 11.0]
 
 
-async def whole_again(play: Play) -> None:
+async def whole_again(play: ScenarioRunner) -> None:
     """Waits at the end until all are members again, as a tool sees it."""
     await anyio.sleep(11.5)
     async with play.client() as client:
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -17,7 +17,7 @@
 
 from benchmarks.daemons import HOST, Asker, Daemon, Upstreams, cluster, config_text
 from harepick.fleet.ports import free_port
-from harepick.settings import address
+from harepick.settings import parse_address
 from harepick.store import wire
 from harepick.store.client import StoreClient, StoreError
 from harepick.store.wire import Hello, Welcome
@@ -100,7 +100,9 @@
 
             async def unchecked(text: str = text, key: str = key) -> None:
                 """The same for a tool that does not look itself."""
-                async with StoreClient(made.name, [address(f"{HOST}:{made.daemons[0].store_port}", "")]) as c:
+                async with StoreClient(
+                    made.name, [parse_address(f"{HOST}:{made.daemons[0].store_port}", "")]
+                ) as c:
                     with pytest.raises(StoreError) as caught:
                         await c.call("set", {"text": text}, 5.0)
                     assert caught.value.code == "invalid" and key in str(caught.value)
@@ -251,7 +253,7 @@
         assert "revision 2" in made.ask("config", "set", path, at=follower)
 
         async def twice() -> None:
-            where = [address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
+            where = [parse_address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
             async with StoreClient(made.name, where) as client:
                 text = config_text(("east", upstream.port))
                 first = await client.call("set", {"text": text}, 10.0)
@@ -272,7 +274,7 @@
         serving(leader)
 
         async def change() -> None:
-            where = [address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
+            where = [parse_address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
             async with StoreClient(made.name, where) as client:
                 assert (await client.call("get", {}, 5.0))["revision"] == 1  # the line to the leader is up
                 leader.pause()
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -8,9 +8,9 @@
 
 from benchmarks.store_model import Host, ViolationError, World, play
 from harepick.store.disk.storage import Storage
-from harepick.store.machine import Done, Envelope, Put
 from harepick.store.raft.core import BusyError, NotLeaderError, Raft, Role, Writes
 from harepick.store.raft.messages import Message, PreVote, PreVoteReply, Vote
+from harepick.store.state_machine import Done, Envelope, Put
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -13,10 +13,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from harepick.enumdns.routes import Routes
-from harepick.settings import Route, SettingsError, read_shared
-from harepick.store import machine as m
+from harepick.settings import Route, SettingsError, read_store_config
+from harepick.store import state_machine as m
 from harepick.store import wire
-from harepick.store.fence import SLACK, Grants, Lease
+from harepick.store.leases import CLOCK_RATE_MARGIN, Grants, Lease
 from harepick.store.node import Node
 from harepick.store.raft.core import BusyError, Raft
 from harepick.store.raft.messages import Entry, HardState, Kind, Member, Membership, Snapshot
@@ -25,39 +25,39 @@
 ONE = Membership((Member("a", "127.0.0.1:1"),))
 
 
-def apply(machine: m.Machine, body: m.Command, session: str = "", number: int = 0) -> m.Result:
+def apply(machine: m.StateMachine, body: m.Command, session: str = "", number: int = 0) -> m.Result:
     return machine.apply(machine.applied + 1, m.encode(m.Envelope(session, number, body)))
 
 
 def test_revisions_are_numbered_and_an_unexpected_one_is_a_conflict() -> None:
-    machine = m.Machine()
+    machine = m.StateMachine()
     assert apply(machine, m.Put("one", 0)) == m.Done(1, 1)
     assert apply(machine, m.Put("two", 0)) == m.Conflict(0, 1)
     assert apply(machine, m.Put("two", 1)) == m.Done(2, 3)
     assert apply(machine, m.RollBack(1)) == m.Done(3, 4)
     assert machine.latest and machine.latest.text == "one" and "rollback to 1" in machine.latest.note
     assert apply(machine, m.RollBack(9)) == m.Refused("revision 9 is not kept")
-    assert isinstance(apply(machine, m.Put("x" * (m.MOST_TEXT + 1))), m.Refused)
+    assert isinstance(apply(machine, m.Put("x" * (m.MAX_TEXT + 1))), m.Refused)
     assert machine.latest.number == 3
 
 
 def test_history_sessions_and_views_are_bounded() -> None:
-    machine = m.Machine()
-    for n in range(m.MOST_REVISIONS + 50):
+    machine = m.StateMachine()
+    for n in range(m.MAX_REVISIONS + 50):
         apply(machine, m.Put(f"{n}"), f"s{n}", 1)
-    assert len(machine.history()) == m.MOST_REVISIONS and machine.revision(1) is None
+    assert len(machine.history()) == m.MAX_REVISIONS and machine.revision(1) is None
     for _ in range(40):
-        apply(machine, m.Put("x" * m.MOST_TEXT))
-    assert sum(len(r.text) for r in machine.history()) <= m.MOST_HISTORY
-    for n in range(m.MOST_VIEWS + 5):
-        apply(machine, m.View(f"i{n}", ()))
-    assert len(machine.views) == m.MOST_VIEWS and "i0" not in machine.views
-    rows = tuple(m.ViewRow(f"s{n}", n, "ready") for n in range(m.MOST_ROWS + 1))
-    assert isinstance(apply(machine, m.View("i", rows)), m.Refused)
+        apply(machine, m.Put("x" * m.MAX_TEXT))
+    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY
+    for n in range(m.MAX_VIEWS + 5):
+        apply(machine, m.PoolView(f"i{n}", ()))
+    assert len(machine.views) == m.MAX_VIEWS and "i0" not in machine.views
+    rows = tuple(m.PoolViewRow(f"s{n}", n, "ready") for n in range(m.MAX_ROWS + 1))
+    assert isinstance(apply(machine, m.PoolView("i", rows)), m.Refused)
 
 
 def test_an_entry_of_an_unknown_format_stops_before_it_acts() -> None:
-    machine = m.Machine()
+    machine = m.StateMachine()
     for data in (b"", b"\x02rest", bytes([m.FORMAT]) + b"\xc1"):
         with pytest.raises(m.FormatError):
             machine.apply(1, data)
@@ -114,7 +114,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.one, self.two = m.Machine(), m.Machine()
+        self.one, self.two = m.StateMachine(), m.StateMachine()
         self.model: list[str] = []
         self.answers: dict[tuple[str, int], m.Result] = {}
         self.numbers: dict[str, int] = {}
@@ -155,7 +155,7 @@
 
     @rule()
     def snapshot(self) -> None:
-        restored = m.Machine()
+        restored = m.StateMachine()
         restored.restore(self.two.snapshot())
         self.two = restored
 
@@ -211,7 +211,7 @@
             adopted[n] = 5
             grants.adopted(f"{n}", 5)
         if not grants.waits_for(5, now):
-            assert now >= length * SLACK
+            assert now >= length * CLOCK_RATE_MARGIN
             for k in range(3):
                 assert adopted[k] == 5 or not leases[k].holds(now * rates[k])
 
@@ -243,7 +243,7 @@
 )
 def test_a_faulty_shared_configuration_names_its_key(key: str, text: str) -> None:
     with pytest.raises(SettingsError) as caught:
-        read_shared('[[upstream]]\nname = "a"\naddress = "127.0.0.1:1"\n' + text)
+        read_store_config('[[upstream]]\nname = "a"\naddress = "127.0.0.1:1"\n' + text)
     assert key in str(caught.value)
 
 
--- a/tests/test_store_replica.py
+++ b/tests/test_store_replica.py
@@ -10,14 +10,14 @@
 import pytest
 
 from harepick.counters import Counters
-from harepick.fleet.membership.roster import DROPPED, LEAVING, Mark
+from harepick.fleet.membership.absences import DROPPED, LEAVING, SetMemberState
 from harepick.fleet.ports import free_port
 from harepick.log import Log
-from harepick.store.machine import Envelope, Put
-from harepick.store.operators import Operators
+from harepick.store.operator_api import OperatorApi
 from harepick.store.raft.core import BadChangeError
 from harepick.store.replica import Replica, StoreUnavailableError
 from harepick.store.settings import read_store
+from harepick.store.state_machine import Envelope, Put
 from harepick.store.wire import Hello
 
 
@@ -121,12 +121,14 @@
 def test_one_that_the_fleet_dropped_is_taken_off_for_good_by_remove(tmp_path: Path) -> None:
     async def work() -> None:
         made = replica(tmp_path)
-        desk = Operators(made, Counters())
+        desk = OperatorApi(made, Counters())
         async with anyio.create_task_group() as tasks:
             await tasks.start(made.run)
             await until(made.may_act)
             for state, version in ((LEAVING, 0), (DROPPED, 1)):
-                await made.change(Envelope("", 0, Mark("c", state, version, address="127.0.0.1:1")), 5.0)
+                await made.change(
+                    Envelope("", 0, SetMemberState("c", state, version, address="127.0.0.1:1")), 5.0
+                )
             assert made.status()["absent"][0]["replica"] == "c"
             assert (await desk.remove({"replica": "c"}, 5.0))["index"] > 0
             assert not made.status()["absent"]
