--- a/benchmarks/gap_model.py
+++ b/benchmarks/gap_model.py
@@ -90,10 +90,10 @@
         calls = RATE * TICK * self.skew[instance.name] / sum(self.skew.values())
         for _ in range(int(calls) + (self.rng.random() < calls % 1)):
             self.offered += 1
-            if process.screen.refuses(NUMBER, "", wall) is None:
+            if process.screen.retry_after(NUMBER, "", wall) is None:
                 self._pass(floor(wall / self.interval), instance.name)
         if leader := self.true_leader:
-            for ask in process.turns.asks(wall, process.screen.uses()):
+            for ask in process.turns.due_requests(wall, process.screen.uses()):
                 process.asked.append(ask)
                 self.send(instance.name, leader, partial(self.propose, leader, ask))
 
--- a/benchmarks/heal_model.py
+++ b/benchmarks/heal_model.py
@@ -92,7 +92,7 @@
             since.clear()
             return
         sight = self._sight(host, node, since, now)
-        roster = node.machine.roster
+        roster = node.state_machine.absences
         plan = MembershipSettings(PLAN.drop_after, 1) if self.broken == "keeps_none" else PLAN
         step = decide(roster, plan, sight)
         with contextlib.suppress(NotLeaderError, BusyError, BadChangeError):
@@ -127,7 +127,7 @@
             settled=node.raft.membership_index <= node.raft.commit,
             members=members,
             gone={name: now - at for name, at in since.items()},
-            knocking=frozenset(
+            rejoining=frozenset(
                 other.name
                 for other in self.hosts.values()
                 if other.name not in members
@@ -135,7 +135,7 @@
                 and not other.paused
                 and not {(other.name, host.name), (host.name, other.name)} & self.cuts
             ),
-            resting=frozenset(),
+            in_maintenance=frozenset(),
         )
 
     def _judge(self, instance: str, sight: FleetState) -> None:
@@ -158,7 +158,7 @@
             voters = host.node.raft.membership.voters
             if len(voters) != REPLICAS:
                 raise ViolationError(
-                    f"at the end {voters} vote, and {host.node.machine.roster.absent} are absent"
+                    f"at the end {voters} vote, and {host.node.state_machine.absences.absent} are absent"
                 )
     return made
 
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -130,9 +130,9 @@
     """Kills whoever leads, in the middle of what is being settled, and starts it again."""
     await anyio.sleep(after)
     if leader := play.role("leader"):
-        await play.strike("kill", play.instances[leader])
+        await play.apply_fault("kill", play.instances[leader])
         await anyio.sleep(1.0)
-        await play.strike("start", play.instances[leader])
+        await play.apply_fault("start", play.instances[leader])
 
 
 def used(report: Report, admitted: Sequence[Event], start: float, end: float) -> float:
--- a/benchmarks/limit_model.py
+++ b/benchmarks/limit_model.py
@@ -96,7 +96,7 @@
             self.followed[name] = -1
         if self.followed[name] != instance.state.version:
             self.followed[name] = instance.state.version
-            self.purses[name].hold(self.shares(instance.state, name), instance.clock(self.now))
+            self.purses[name].set_shares(self.shares(instance.state, name), instance.clock(self.now))
 
     def committed(self, command: Any) -> None:
         known: LimitAllocation = self.truth.get("x")
@@ -127,7 +127,7 @@
         for _ in range(int(calls) + (self.rng.random() < calls % 1)):
             self.offered += 1
             caller = self.caller()
-            if purse.spend("+94", "", caller, clock)[0] is None:
+            if purse.take_tokens("+94", "", caller, clock)[0] is None:
                 self.admit(caller)
 
     def _check_shares(self) -> None:
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -95,17 +95,17 @@
         return known
 
     def committed(self, command: Any) -> None:
-        servers, controllers = self.truth.barred(SERVER), self.truth.barred(CONTROLLER)
+        servers, controllers = self.truth.excluded(SERVER), self.truth.excluded(CONTROLLER)
         self.most = max(self.most, len(servers))
         if len(servers) > PLAN.max_out or len(controllers) > PLAN.max_out_controllers:
             raise Broken(f"{self.now:.3f}: {sorted(servers | controllers)} are out at once")
 
     def _check_leaving(self, machine: str) -> None:
-        if not set(SERVERS) - self.truth.barred(SERVER):
+        if not set(SERVERS) - self.truth.excluded(SERVER):
             raise Broken(f"{self.now:.3f}: no server is left in service")
         # What has failed is as the leader saw it when it decided: a message's time before.
         failed = machine in self.failed or self.now - self.mended.get(machine, -1.0) <= self.late
-        if not GROUP - self.truth.barred(SERVER) and not failed:
+        if not GROUP - self.truth.excluded(SERVER) and not failed:
             raise Broken(f"{self.now:.3f}: {machine} was the last of its group")
 
     def _check_left(self, state: Orders, move: AdvanceOrder) -> None:
@@ -113,7 +113,7 @@
         order = state.get(move.order)
         if order is None or order.kind != SERVER or order.machine in self.failed:
             return
-        left = set(SERVERS) - state.barred(SERVER) - self.failed - self.pressed - {order.machine}
+        left = set(SERVERS) - state.excluded(SERVER) - self.failed - self.pressed - {order.machine}
         if len(left) < PLAN.floor or (order.machine in GROUP and not left & GROUP):
             raise Broken(f"{self.now:.3f}: {order.machine} leaves {sorted(left)} in service")
 
@@ -162,7 +162,7 @@
                 process.calls.append(clock + self.rng.uniform(0.0, LONGEST))
         if stage == OUT or not process.calls:
             return
-        open_to = [s for s in SERVERS if s not in instance.state.barred(SERVER)]
+        open_to = [s for s in SERVERS if s not in instance.state.excluded(SERVER)]
         if not open_to:
             raise Broken(f"{self.now:.3f}: {instance.name} has no server left")
         server = self.rng.choice(open_to)
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -67,15 +67,17 @@
 settings = read_enum({"upstream": [{"name": "a", "address": "127.0.0.1:1"}]}).settings
 port = Port()
 engine = Engine(settings, 1, port, Inbox(), Counters(), Log(), 20000, clock)
-engine.begin(i.ServerList(i.ListKind.ALL, (i.ServerEntry("a", 0, "ready"),)))
+start = engine.start if hasattr(engine, "start") else engine.begin
+process = engine.process if hasattr(engine, "process") else engine.turn
+start(i.ServerList(i.ListKind.ALL, (i.ServerEntry("a", 0, "ready"),)))
 caller = Caller()
 def calls(count):
     global now
     for n in range(count):
         now += 0.01
-        engine.turn([Offer(f"c{now}", "look-up", 0, n, now + 2.0, caller, b"", called="+94112345678")])
+        process([Offer(f"c{now}", "look-up", 0, n, now + 2.0, caller, b"", called="+94112345678")])
         attempt = port.out
-        engine.turn([Answered(attempt.call, attempt.number, attempt.server, b"x", lasting=False)])
+        process([Answered(attempt.call, attempt.number, attempt.server, b"x", lasting=False)])
 calls(500)
 began = time.process_time()
 calls(int(sys.argv[1]))
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -68,7 +68,7 @@
                     except StoreError as error:
                         if error.code in ("invalid", "bad_request", "conflict", "refused"):
                             raise
-                        client.again()
+                        client.repeat_last()
                 self.acks.append((time.time(), n, found["revision"]))
                 self.took.append((began, time.time() - began))
                 n += 1
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -491,7 +491,7 @@
             if seen != (entry.term, entry.data):
                 raise ViolationError(f"{host.name} committed another entry {index}")
         host.committed = max(host.committed, raft.commit)
-        for revision in host.node.machine.history(3):
+        for revision in host.node.state_machine.history(3):
             if self.applied_texts.setdefault(revision.text, revision.number) != revision.number:
                 raise ViolationError(f"{revision.text} was applied twice")
 
@@ -513,7 +513,7 @@
     made.play(seconds + 12.0)
     if made.stats["acks"] <= before:
         raise ViolationError("no change was acknowledged after all troubles had ended")
-    kept = {r.text for h in made.hosts.values() if h.node for r in h.node.machine.history()}
+    kept = {r.text for h in made.hosts.values() if h.node for r in h.node.state_machine.history()}
     lost = made.acknowledged_texts.keys() - kept
     if lost:
         raise ViolationError(f"acknowledged and lost: {sorted(lost)[:3]}")
--- a/harepick/core/call_table.py
+++ b/harepick/core/call_table.py
@@ -27,14 +27,14 @@
 class CallTable:
     def __init__(self, room: int) -> None:
         self._calls: dict[str, CallRecord] = {}
-        self.room = room
+        self.capacity = room
 
     def __len__(self) -> int:
         return len(self._calls)
 
     @property
     def full(self) -> bool:
-        return len(self._calls) >= self.room
+        return len(self._calls) >= self.capacity
 
     def __contains__(self, call: str) -> bool:
         return call in self._calls
--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -107,24 +107,24 @@
         return self._ledger.under_way(server)
 
     @property
-    def owing(self) -> int:
+    def unanswered(self) -> int:
         """Calls that still wait for their final answer."""
         return len(self._ledger.unanswered())
 
     async def run(self, known: i.ServerList) -> None:
         """Serves until cancelled."""
-        self.begin(known)
+        self.start(known)
         while True:
             words = await self._inbox.drain(self._timers.next_due() - self._clock())
-            self.turn(words)
+            self.process(words)
             # With more there, the others have their turn of the loop, and the core goes on at once.
             await anyio.sleep(0 if len(self._inbox) else GATHER)
 
-    def begin(self, known: i.ServerList) -> None:
+    def start(self, known: i.ServerList) -> None:
         self._perform(self._controller.start())
-        self.turn([ControllerEvent(known)])
+        self.process([ControllerEvent(known)])
 
-    def turn(self, words: Sequence[Message]) -> None:
+    def process(self, words: Sequence[Message]) -> None:
         """One batch."""
         now = self._clock()
         events: list[i.Event] = []
@@ -136,7 +136,7 @@
         for word in words:
             if not isinstance(word, ConcurrencyLimit):
                 events += self._hear(word, now)
-        if self._gate and (wait := self._gate.shut()) is not None:
+        if self._gate and (wait := self._gate.closed_for()) is not None:
             events += self._turn_away(wait)
         for item in self._timers.due(now):
             if isinstance(item, Attempt):
@@ -156,7 +156,7 @@
         # Published for the `ops` listener, which must not reach into the module that this task owns.
         self.avoided = frozenset(self._controller.avoided() & self._listed.keys())
 
-    def give_up(self) -> None:
+    def fail_unanswered(self) -> None:
         """The end of a drain: fails what is unanswered, and from now on refuses what comes at once.
 
         What stands goes on: it ends by itself, or is released by `release_all`."""
@@ -202,7 +202,7 @@
                 return [i.Probed(server, i.Outcome.OK, 0.0, {"free": free})]
             case ReplaceSettings(settings, room):
                 self._settings = settings
-                self._ledger.room = room
+                self._ledger.capacity = room
                 self._counters.add("core.retuned")
                 return [i.SettingsReplaced(settings)]
             case ControllerEvent(event):
@@ -222,7 +222,7 @@
             return []
         if known is not None:  # whoever sent it, the call that is open keeps its id
             self._counters.add("calls.clashes")
-            offer.caller.clashes()
+            offer.caller.duplicate_id()
             return []
         if self._closing:  # drained: a successor, or this program after its restart, takes it now
             self._counters.add("answers.closing")
@@ -232,12 +232,12 @@
             self._counters.add("answers.no_room")
             offer.caller.refused(self._advice(self._settings.max_advice))
             return []
-        if self._gate and (wait := self._gate.shut()) is not None:
+        if self._gate and (wait := self._gate.closed_for()) is not None:
             self._counters.add("answers.not_current")
             offer.caller.refused(self._advice(wait))
             return []
         if self.screen:
-            wait = self.screen.refuses(offer.called, offer.class_name, now, offer.source)
+            wait = self.screen.retry_after(offer.called, offer.class_name, now, offer.source)
             if wait is not None:
                 self._counters.add("answers.gapped")  # never booked: no server hears of it, nor the module
                 advice = self._settings.max_advice
@@ -427,7 +427,7 @@
             return
         offer = entry.offer
         deadline = min(offer.deadline, now + timeout) if timeout > 0 else offer.deadline
-        attempt = Attempt(call, entry.tries, server, now, deadline, offer.request, self._may_leave)
+        attempt = Attempt(call, entry.tries, server, now, deadline, offer.request, self._may_send)
         entry.tries += 1
         if entry.answered or now >= deadline or entry.tries > entry.limit:
             outcome: i.Outcome | None = i.Outcome.MOOT
@@ -438,7 +438,7 @@
         if outcome is None:
             self._timers.set(deadline, attempt)
             if self._gate:
-                self._gate.left(attempt)
+                self._gate.record_sent(attempt)
             return
         entry.out = attempt
         self._late.extend(self._ended(attempt, outcome, now))
@@ -454,7 +454,7 @@
         if self._servers.cancel(attempt):
             self._late.extend(self._ended(attempt, i.Outcome.CANCELLED, now))
 
-    def _may_leave(self, attempt: Attempt, now: float) -> bool:
+    def _may_send(self, attempt: Attempt, now: float) -> bool:
         """The last look before a set-up's bytes leave: the rules hold at that moment, not at the decision."""
         if attempt.ended or attempt.revoked or now >= attempt.deadline or attempt.server not in self._ready:
             return False
@@ -464,5 +464,5 @@
         if self._gate is None:
             return True
         if attempt.sent is None:
-            attempt.looked = now
-        return self._gate.may_leave(attempt.server)
+            attempt.checked_at = now
+        return self._gate.may_send(attempt.server)
--- a/harepick/core/inbox.py
+++ b/harepick/core/inbox.py
@@ -23,15 +23,15 @@
         self._taken = anyio.Event()
 
     async def put(self, word: Message) -> None:
-        await self.room()
-        self.tell(word)
+        await self.wait_for_space()
+        self.put_nowait(word)
 
-    async def room(self) -> None:
+    async def wait_for_space(self) -> None:
         """Waits while the inbox is full: whoever tells words at once waits here before it reads on."""
         while len(self._words) >= self._room:
             await self._taken.wait()
 
-    def tell(self, word: Message) -> None:
+    def put_nowait(self, word: Message) -> None:
         """At once, also over the bound: for words that a cancelled wait must not lose. There is at most one
         such word of a kind for each call or connection that is open."""
         self._words.append(word)
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -27,7 +27,7 @@
     def over(self, *, cut: bool) -> None:
         """A standing call has ended."""
 
-    def clashes(self) -> None:
+    def duplicate_id(self) -> None:
         """Another call is open under this one's id: it goes no further, and no answer will come."""
 
 
@@ -60,11 +60,11 @@
     request: object
     guard: Callable[[Attempt, float], bool] = field(repr=False)
     sent: float | None = None  # when its bytes left
-    looked: float = 0.0  # when a gate let it leave, right before the bytes did
+    checked_at: float = 0.0  # when a gate let it leave, right before the bytes did
     ended: bool = False
     revoked: bool = False
 
-    def may_leave(self, now: float) -> bool:
+    def may_send(self, now: float) -> bool:
         """Asked right before the bytes leave: the time to connect or a full buffer may have come between."""
         return self.guard(self, now)
 
@@ -85,20 +85,20 @@
 class Gate(Protocol):
     """Whether this instance may act on what it knows; asked in the moment before it does."""
 
-    def shut(self) -> float | None:
+    def closed_for(self) -> float | None:
         """None: open. Else nothing new may start, and callers are told to come back after so many seconds."""
 
-    def may_leave(self, server: str) -> bool:
+    def may_send(self, server: str) -> bool:
         """Whether a set-up to this server may leave now."""
 
-    def left(self, attempt: Attempt) -> None:
-        """It left; `attempt.looked` tells when the last look was."""
+    def record_sent(self, attempt: Attempt) -> None:
+        """It left; `attempt.checked_at` tells when the last look was."""
 
 
 class Screen(Protocol):
     """What an operator said of numbers, asked before a call is booked (number gapping)."""
 
-    def refuses(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
         """None: the call goes on. Else it is refused; its caller is to come back after so many seconds.
         `source`: the caller's address, where the front tells it."""
 
@@ -168,7 +168,7 @@
     """So many calls may be under way at a server from here; infinitely many: no bound."""
 
     server: str
-    room: float
+    limit: float
 
 
 @dataclass(slots=True)
@@ -176,7 +176,7 @@
     """Settings read again at SIGHUP: for what arrives from now on."""
 
     settings: i.Settings
-    room: int  # calls that may be open at once
+    capacity: int  # calls that may be open at once
 
 
 Message = (
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -71,7 +71,7 @@
         self.id = entry.server
         self.told_off: float | None = None  # when we were told that it drains or is gone
         self.free = float("inf")  # free agents, as last told, less those taken since
-        self.out: dict[tuple[str, int], float] = {}  # attempts out -> time sent, oldest first
+        self.open_attempts: dict[tuple[str, int], float] = {}  # attempts out -> time sent, oldest first
         self.cold_until = 0.0
         self.logged = now - HISTORY
         self.peaks: deque[tuple[float, float]] = deque()  # (time, sends a second) at u=1, highest first
@@ -93,13 +93,13 @@
         """Forget every estimate: a restarted server is another one."""
         self.cold = Bucket(level)
         self.cold_at = now
-        self.u = 1
+        self.throttle = 1
         self.zero = 0  # intervals that u has sat at 0
         self.sums = [0.0, 0.0]  # this interval's waits heard: sum, count
         self.history: deque[float] = deque(maxlen=max(WM, WC, WT))  # wait judged, an interval each
         self.words: deque[int] = deque(maxlen=WT)  # waits heard in each interval
-        self.rmax = 0.0
-        self.r = 0.0
+        self.max_gate_rate = 0.0
+        self.gate_rate = 0.0
         self.gate = Bucket(level + 1.0)  # a front that knows nothing yet may try each once
         self.eased = False  # reopened, but fresh calls still take tokens
         self.before = (0.0, False)  # r and eased when it shut
@@ -111,13 +111,13 @@
         self.errors = 0.0  # share answered at once with an error: no load, so that it shuts nothing
         self.answered = 0.0  # when the latest set-up answered so far was sent: older silent ones tell nothing
 
-    def spoke(self, now: float) -> None:
+    def record_activity(self, now: float) -> None:
         """Any word from the server, also the end of a call, shows that it lives."""
         self.gap += (now - self.heard - self.gap) / GAP_MEMORY
         self.heard = now
 
-    def hear(self, now: float, wait: float, pressed: float) -> None:
-        self.spoke(now)
+    def record_wait(self, now: float, wait: float, pressed: float) -> None:
+        self.record_activity(now)
         self.latest = wait
         self.sums[0] += wait
         if wait > pressed:
@@ -144,17 +144,17 @@
     """One record of the call book."""
 
     __slots__ = (
-        *("id", "cls", "dest", "arrived", "transit", "until", "tries", "out", "last"),
+        *("id", "call_class", "destination", "arrived", "transit", "until", "tries", "attempt_at", "last"),
         *("not_before", "revoked", "may_run", "stands", "erred", "limit"),
     )
 
     def __init__(self, event: i.CallArrived, cls: i.CallClass, now: float, limit: int) -> None:
-        self.id, self.cls, self.dest, self.arrived = event.call, cls, event.destination, now
+        self.id, self.call_class, self.destination, self.arrived = event.call, cls, event.destination, now
         self.limit = limit  # attempts, as the settings said when it arrived
         self.transit = event.in_transit
         self.until = event.deadline
         self.tries = 0
-        self.out: Server | None = None
+        self.attempt_at: Server | None = None
         self.last: Server | None = None  # where the attempt before this one went
         self.revoked = -1  # the attempt that we have cancelled
         self.not_before = 0.0  # release guard
@@ -170,7 +170,7 @@
         self.rng = random.Random(seed)
         self.now = now
         self.began = now
-        self.s: i.Settings = settings
+        self.settings: i.Settings = settings
         self.classes: dict[str, i.CallClass] = {}
         self._retune(settings)
         self.tried: dict[tuple[int | None, str], float] = {}  # number and class -> first try, oldest first
@@ -189,7 +189,7 @@
     def start(self) -> list[i.Action]:
         """First actions: the interval's phase comes from the seed, so that fronts do not step together."""
         first: list[i.Action] = [i.WakeAfter(self.interval * (0.1 + 0.9 * self.rng.random()), TICK)]
-        if self.s.must_ask:
+        if self.settings.must_ask:
             first.append(i.Subscribe())
         return first
 
@@ -222,8 +222,8 @@
     def _retune(self, settings: i.Settings) -> None:
         """Classes and rules for what arrives from now on; what is known of the servers stays. A class that
         was dropped is kept for one reload more: its callers may not have moved yet."""
-        before = {c.name: c for c in self.s.classes} if self.classes else {}
-        self.s = settings
+        before = {c.name: c for c in self.settings.classes} if self.classes else {}
+        self.settings = settings
         self.classes = {**before, **{c.name: c for c in settings.classes}}
         self.tightest = min(c.aim for c in settings.classes)
         self.wait_at_pmax = SHUT_SHARE * self.tightest
@@ -232,7 +232,9 @@
 
     def avoided(self) -> set[str]:
         """Listed servers that fresh calls go to no more: told off, or shut by their occupancy."""
-        return {s.id for s in self.servers.values() if not s.gone and (s.told_off is not None or not s.u)}
+        return {
+            s.id for s in self.servers.values() if not s.gone and (s.told_off is not None or not s.throttle)
+        }
 
     # What is heard
 
@@ -251,7 +253,7 @@
                     known.void(self.now, self.rng.random())
                 known.update(entry, self.now)
             if entry.started > 0:
-                known.cold_until = entry.started + self.s.warm_after
+                known.cold_until = entry.started + self.settings.warm_after
         for server in self.servers.values():
             later = [s for s in self.servers.values() if s.number == server.number and s.told_off is None]
             warm = (s.cold_until for s in later if s.started > server.started)
@@ -269,21 +271,21 @@
         if "free" in report:
             server.free = report["free"]
         if "cpu" in report:
-            server.hear(self.now, report["cpu"] / PMAX * self.wait_at_pmax, self.wait_at_pmax)
+            server.record_wait(self.now, report["cpu"] / PMAX * self.wait_at_pmax, self.wait_at_pmax)
         elif "avg_ms" in report:
-            server.hear(self.now, report["avg_ms"] / 1000.0, self.wait_at_pmax)
+            server.record_wait(self.now, report["avg_ms"] / 1000.0, self.wait_at_pmax)
 
     def _stands(self, event: i.CallStands) -> None:
         server = self.servers.get(event.server)
         if server:
-            server.answered = max(server.answered, server.out.pop((event.call, event.attempt), 0.0))
+            server.answered = max(server.answered, server.open_attempts.pop((event.call, event.attempt), 0.0))
             server.faults -= server.faults / FAULT_MEMORY
             server.errors -= server.errors / FAULT_MEMORY
             server.stood_now += 1
             self.floor = min(self.floor, event.elapsed)
-            server.hear(self.now, event.elapsed - self.floor, self.wait_at_pmax)
+            server.record_wait(self.now, event.elapsed - self.floor, self.wait_at_pmax)
         call = self.calls.get(event.call)
-        if call and call.out is server:
+        if call and call.attempt_at is server:
             call.stands = True
             self.sticky = event.server
 
@@ -292,10 +294,10 @@
         out = event.outcome
         lost = False
         if server:
-            sent = server.out.pop((event.call, event.attempt), self.now)
+            sent = server.open_attempts.pop((event.call, event.attempt), self.now)
             lost = out in (i.Outcome.TIMEOUT, i.Outcome.CANCELLED) and self._lost(server, sent)
             if out is i.Outcome.OK:
-                server.spoke(self.now)
+                server.record_activity(self.now)
             self._report(event.server, event.report)
         call = self.calls.get(event.call)
         full = out is i.Outcome.FULL and event.cause == 3
@@ -305,7 +307,7 @@
         stood = call is not None and call.stands
         if server and (full or (out is i.Outcome.TIMEOUT and call and not lost)):
             waited = max(event.told_wait, event.elapsed, self.wait_at_pmax / SHUT_SHARE)
-            server.hear(self.now, waited, self.wait_at_pmax)
+            server.record_wait(self.now, waited, self.wait_at_pmax)
         # Recurring, it shuts a pool out of lines, which has no wait and would draw every shed call.
         no_line = out is i.Outcome.FULL and event.cause == 1
         if server and not stood and not busy_line and (lost or no_line or out in FAULTS):
@@ -316,12 +318,12 @@
             self.sticky = None
         if call is None or call.tries - 1 != event.attempt:
             return
-        call.out = None
+        call.attempt_at = None
         if event.final or call.stands:
             del self.calls[call.id]
             return
         if out in (i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED):
-            call.not_before = self.now + self.s.release_guard + EPS
+            call.not_before = self.now + self.settings.release_guard + EPS
         if out not in (i.Outcome.FULL, i.Outcome.UNREACHED, i.Outcome.MOOT):
             call.may_run = server
         call.erred = out is i.Outcome.ERROR
@@ -333,7 +335,7 @@
     def _left(self, name: str) -> None:
         call = self.calls.pop(name, None)
         self.held.pop(name, None)
-        if call and call.out and not call.stands and self.s.may_cancel:
+        if call and call.attempt_at and not call.stands and self.settings.may_cancel:
             self.actions.append(i.Cancel(name, call.tries - 1))
 
     # Occupancy, throttle and token gate
@@ -345,7 +347,7 @@
         lost = self.now - self.tightest
         said = server.heard - self.wait_at_pmax
         oldest = next(
-            (t for t in server.out.values() if t > server.answered and (t > lost or t > said)), None
+            (t for t in server.open_attempts.values() if t > server.answered and (t > lost or t > said)), None
         )
         if oldest is not None:
             wait = max(wait, self.now - oldest - (self.floor if self.floor < float("inf") else 0.0))
@@ -358,14 +360,14 @@
         weight = self.interval / min(max(self.now - self.began, YOUNG * self.interval), HISTORY)
         self.rate += weight * (self.arrivals / self.interval - self.rate)
         self.arrivals = 0
-        for name in [s.id for s in self.servers.values() if s.gone and not s.out]:
+        for name in [s.id for s in self.servers.values() if s.gone and not s.open_attempts]:
             if self.now - (self.servers[name].told_off or self.now) > FORGET:
                 del self.servers[name]
         alive = [s.faults for s in self.servers.values() if s.told_off is None]
         self.all_faults = sum(alive), len(alive)
         for server in self.servers.values():
             self._adjust(server)
-        if self.s.may_cancel:
+        if self.settings.may_cancel:
             for server in self.servers.values():
                 self._rescue(server)
 
@@ -374,17 +376,17 @@
 
         All at a server silent since they went out (a hang, a dead line, a freeze; a slow server still
         answers others), and a lost one, overtaken by an answer to a later set-up."""
-        if not any(s.u and s is not server and s.told_off is None for s in self.servers.values()):
+        if not any(s.throttle and s is not server and s.told_off is None for s in self.servers.values()):
             return
         silence = max(self.wait_at_pmax, SILENT_GAPS * server.gap)
-        for (name, attempt), sent in list(server.out.items()):
+        for (name, attempt), sent in list(server.open_attempts.items()):
             call = self.calls.get(name)
             if call is None or call.revoked == attempt:
                 continue
-            silent = not server.u and server.heard <= sent and self.now - sent >= silence
+            silent = not server.throttle and server.heard <= sent and self.now - sent >= silence
             lost = self._lost(server, sent)
-            limit = call.until if lost else call.arrived + call.cls.aim
-            if (silent or lost) and self.now + self.s.release_guard + 2 * self.floor < limit:
+            limit = call.until if lost else call.arrived + call.call_class.aim
+            if (silent or lost) and self.now + self.settings.release_guard + 2 * self.floor < limit:
                 call.revoked = attempt
                 self.actions.append(i.Cancel(name, attempt))
 
@@ -395,10 +397,10 @@
 
     def _adjust(self, server: Server) -> None:
         server.close_interval(self.interval)
-        if not server.u:
+        if not server.throttle:
             server.faults *= 1.0 - 1.0 / NWAIT_FAULTS  # or no attempt would ever try it again
         carried = self._carried(server)
-        if server.u:
+        if server.throttle:
             span = max(PEAK_INTERVALS * self.interval, PEAK_SENDS / max(carried, EPS))
             server.rate += (server.stood_now - server.rate * self.interval) / span
             while server.peaks and server.peaks[-1][1] <= server.rate:
@@ -407,45 +409,52 @@
         server.stood_now = 0
         while server.peaks and server.peaks[0][0] < self.now - PEAK_SPAN:
             server.peaks.popleft()
-        server.rmax = max(server.peaks[0][1] if server.peaks else 0.0, carried)
-        rmin = server.rmax * RMIN_SHARE
+        server.max_gate_rate = max(server.peaks[0][1] if server.peaks else 0.0, carried)
+        rmin = server.max_gate_rate * RMIN_SHARE
         if not server.eased:
-            server.r = server.rmax
+            server.gate_rate = server.max_gate_rate
         step = max(WT * self.interval, STEP_SENDS / max(carried, EPS))
-        if server.u and (p := self._occupancy(server, WM)) > PMAX:
-            server.before, server.shut_at = (server.r, server.eased), self.now
-            server.u, server.zero, server.eased = 0, 0, True
-            server.r = max(rmin, server.r * PTERM_MAX / p)
+        if server.throttle and (p := self._occupancy(server, WM)) > PMAX:
+            server.before, server.shut_at = (server.gate_rate, server.eased), self.now
+            server.throttle, server.zero, server.eased = 0, 0, True
+            server.gate_rate = max(rmin, server.gate_rate * PTERM_MAX / p)
             if self.now - server.logged >= HISTORY:
                 server.logged = self.now
                 self.actions.append(i.Log(f"{server.id} shut, occupancy {p:.1f}"))
-        elif not server.u:
+        elif not server.throttle:
             server.zero += 1
             if self._occupancy(server, WC) < PMAX:
-                server.u = 1
+                server.throttle = 1
                 if server.proven < server.shut_at - WM * self.interval and server.faults < FAULT_SHARE:
-                    server.r, server.eased = server.before  # a lost answer, no load: nothing to ease in
-                    server.r = server.r if server.eased else server.rmax
-        if server.u:
+                    # a lost answer, no load: nothing to ease in
+                    server.gate_rate, server.eased = server.before
+                    server.gate_rate = server.gate_rate if server.eased else server.max_gate_rate
+        if server.throttle:
             calm = PMAX * server.latest / self.wait_at_pmax < IDLE and server.heard > server.shut_at
             pace = max(WT * self.interval, server.gap) if calm else step  # of loosening halfway
-            server.r += (server.rmax - server.r) * (1.0 - 0.5 ** (self.interval / pace))
-            server.eased = server.r < EASED_SHARE * server.rmax
+            server.gate_rate += (server.max_gate_rate - server.gate_rate) * (
+                1.0 - 0.5 ** (self.interval / pace)
+            )
+            server.eased = server.gate_rate < EASED_SHARE * server.max_gate_rate
         elif self._gated(server) and server.zero % WT == 0:
             p = self._occupancy(server, WT)
-            server.r = min(max(rmin, server.r * PTERM_MAX / p), server.rmax) if p > 0 else server.rmax
-        server.gate.fill(server.r * self.interval, server.r * step)
+            server.gate_rate = (
+                min(max(rmin, server.gate_rate * PTERM_MAX / p), server.max_gate_rate)
+                if p > 0
+                else server.max_gate_rate
+            )
+        server.gate.fill(server.gate_rate * self.interval, server.gate_rate * step)
 
     def _gated(self, server: Server) -> bool:
-        return not server.u and server.zero > NWAIT - WM
+        return not server.throttle and server.zero > NWAIT - WM
 
     # Arrival, routing, answers
 
     def _arrive(self, event: i.CallArrived) -> None:
-        cls = self.classes.get(event.class_name) or self.s.classes[0]
+        cls = self.classes.get(event.class_name) or self.settings.classes[0]
         self.seen += 1
         self.mean_worth += (cls.worth - self.mean_worth) / self.seen
-        call = self.calls[event.call] = Call(event, cls, self.now, self.s.try_limit)
+        call = self.calls[event.call] = Call(event, cls, self.now, self.settings.try_limit)
         call.arrived = self._first_try(event, cls)
         self.arrivals += call.arrived == self.now  # redials are no measure of what servers carry
         self._route(call)
@@ -471,11 +480,11 @@
             return self._finish(call)
         usable = self._usable(call)
         if self.now < call.not_before:
-            alive = [s for s in self.servers.values() if s.told_off is None and s.u]
+            alive = [s for s in self.servers.values() if s.told_off is None and s.throttle]
             if alive and call.not_before < call.until:
                 return self._hold(call, call.not_before - self.now)
             return self._finish(call)
-        doomed = self.now + self.wait_at_pmax > call.arrived + call.cls.aim
+        doomed = self.now + self.wait_at_pmax > call.arrived + call.call_class.aim
         if doomed:  # too late to earn in full: it yields to calls that are not, wherever there is pressure
             usable = [s for s in usable if not s.eased and self._occupancy(s, WM) < LOW]
         again = usable
@@ -485,9 +494,11 @@
         for servers in (sound, usable, again if call.erred else []):
             if server := self._open(call, servers):
                 return self._send(call, server)
-        first = next((s for s in usable if s.number == call.dest), None)
-        if usable and not doomed and (call.tries or call.cls.worth >= DEAR * self.mean_worth):
-            passing = [s for s in usable if not ((s.eased and s.u) or self._gated(s)) or s.gate.ready()]
+        first = next((s for s in usable if s.number == call.destination), None)
+        if usable and not doomed and (call.tries or call.call_class.worth >= DEAR * self.mean_worth):
+            passing = [
+                s for s in usable if not ((s.eased and s.throttle) or self._gated(s)) or s.gate.ready()
+            ]
             if passing:
                 calmest = min(passing, key=lambda s: self._occupancy(s, WM))
                 return self._send(call, first if first in passing else calmest)
@@ -496,11 +507,13 @@
     def _open(self, call: Call, servers: list[Server]) -> Server | None:
         """The first choice while it is open, else one with a token: the one that last worked, or any."""
         for first in sorted(
-            (s for s in servers if s.number == call.dest), key=lambda s: self.now >= s.left_at
+            (s for s in servers if s.number == call.destination), key=lambda s: self.now >= s.left_at
         ):
-            if first.u and (not first.eased or first.gate.ready() or self._idle(first)):
+            if first.throttle and (not first.eased or first.gate.ready() or self._idle(first)):
                 return first
-        others = [s for s in servers if s.u and s.gate.ready()]  # shed traffic must not topple the next
+        others = [
+            s for s in servers if s.throttle and s.gate.ready()
+        ]  # shed traffic must not topple the next
         others = others or [s for s in servers if self._idle(s)]
         others = [s for s in others if self.now < s.left_at] or others
         if others:
@@ -513,7 +526,12 @@
         """Room beyond the tokens: next to no wait by enough words, and hardly a set-up out to tell of one."""
         few = max(1.0, self._carried(server) * self.wait_at_pmax)
         told = sum(server.words) >= WT
-        return told and bool(server.u) and self._occupancy(server, WT) < IDLE and len(server.out) <= few
+        return (
+            told
+            and bool(server.throttle)
+            and self._occupancy(server, WT) < IDLE
+            and len(server.open_attempts) <= few
+        )
 
     def _hold(self, call: Call, delay: float) -> None:
         self.held[call.id] = call
@@ -533,21 +551,21 @@
         if call.may_run:
             self.actions.append(i.Fail(call.id))
         else:
-            advice = min(self.s.max_advice, self.interval) if self.s.may_advise else 0.0
+            advice = min(self.settings.max_advice, self.interval) if self.settings.may_advise else 0.0
             self.actions.append(i.Refuse(call.id, advice))
 
     # Guards: every send passes here
 
     def _allowed(self, call: Call, server: Server) -> bool:
-        if server.told_off is not None or server.free <= 0 or server.number == self.s.own_number:
+        if server.told_off is not None or server.free <= 0 or server.number == self.settings.own_number:
             return False
-        if call.cls.pools is not None and server.number not in call.cls.pools:
+        if call.call_class.pools is not None and server.number not in call.call_class.pools:
             return False
-        if call.transit and server.number != call.dest:
+        if call.transit and server.number != call.destination:
             return False
-        if call.may_run and call.cls.effect != "free" and (
-            call.cls.effect == "single_shot" or server is not call.may_run
-            or self.now > call.arrived + call.cls.dedup_window
+        if call.may_run and call.call_class.effect != "free" and (
+            call.call_class.effect == "single_shot" or server is not call.may_run
+            or self.now > call.arrived + call.call_class.dedup_window
         ):  # fmt: skip
             return False
         return self.now >= server.cold_until or self._cold_room(server)
@@ -557,10 +575,10 @@
 
         Over any stretch of tip_after all fronts together send what they make in it and what was not
         yet stale before it; the margin covers both, whatever their number."""
-        age = min(1.0, max(0.0, self.now - server.started) / self.s.warm_after)
-        share = self.s.cold_share + (1.0 - self.s.cold_share) * COLD_RAMP * age
-        allowed = self._carried(server) * share * self.s.tip_multiple * COLD_MARGIN
-        stale = (1.0 - COLD_MARGIN) * self.s.tip_after
+        age = min(1.0, max(0.0, self.now - server.started) / self.settings.warm_after)
+        share = self.settings.cold_share + (1.0 - self.settings.cold_share) * COLD_RAMP * age
+        allowed = self._carried(server) * share * self.settings.tip_multiple * COLD_MARGIN
+        stale = (1.0 - COLD_MARGIN) * self.settings.tip_after
         server.cold.fill(allowed * (self.now - server.cold_at), allowed * stale)
         server.cold_at = self.now
         return server.cold.ready()
@@ -571,14 +589,14 @@
         return self.rate * server.size / max(size, server.size)
 
     def _send(self, call: Call, server: Server) -> None:
-        if call.out or self.now < call.not_before or not self._allowed(call, server):
+        if call.attempt_at or self.now < call.not_before or not self._allowed(call, server):
             self.actions.append(i.Log(f"guard: {call.id} to {server.id}"))  # costs this call, not the front
-            return None if call.out else self._finish(call)
+            return None if call.attempt_at else self._finish(call)
         if self.now < server.cold_until:
             server.cold.take()
         server.gate.take()
-        call.out = call.last = server
-        server.out[(call.id, call.tries)] = self.now
+        call.attempt_at = call.last = server
+        server.open_attempts[(call.id, call.tries)] = self.now
         server.free -= 1.0
         call.tries += 1
         return self.actions.append(i.Send(call.id, server.id))
--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -89,7 +89,7 @@
     def over(self, *, cut: bool) -> None:
         """A look-up is over as soon as it is answered."""
 
-    def clashes(self) -> None:
+    def duplicate_id(self) -> None:
         """Ids are this front's own and never used twice."""
         self.failed()
 
--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -86,12 +86,12 @@
 
     def told(self, change: i.ServerList) -> None:
         self.port.listed(change)
-        self.inbox.tell(ControllerEvent(change))
+        self.inbox.put_nowait(ControllerEvent(change))
 
     async def retire(self) -> None:
         """Finishes what it has, and ends."""
         await wait_until(lambda: self.engine.idle, self.config.deadline + LATE_WORDS, LATE_WORDS)
-        self.engine.give_up()
+        self.engine.fail_unanswered()
         self.scope.cancel()
 
 
@@ -154,7 +154,7 @@
         """No look-up is under way."""
         return all(generation.engine.idle for generation in self._generations)
 
-    def allot(self, name: str, room: float) -> None:
+    def set_concurrency_limit(self, name: str, room: float) -> None:
         """So many look-ups may be under way at the upstream of that name, at all addresses it has had and
         in all generations; the newest generation gets what the others leave."""
         self._rooms[name] = room
@@ -169,12 +169,12 @@
         for generation in self._generations[:-1]:
             for server in servers:
                 elsewhere += generation.engine.under_way(server)
-                generation.inbox.tell(ConcurrencyLimit(server, 0.0 if room < inf else inf))
+                generation.inbox.put_nowait(ConcurrencyLimit(server, 0.0 if room < inf else inf))
         for server in servers:
             if server not in now:
                 elsewhere += newest.engine.under_way(server)
         for server in now:
-            newest.inbox.tell(ConcurrencyLimit(server, max(0.0, room - elsewhere)))
+            newest.inbox.put_nowait(ConcurrencyLimit(server, max(0.0, room - elsewhere)))
 
     @property
     def pending(self) -> int:
@@ -269,7 +269,7 @@
                 # What was remembered meanwhile may have missed the core: it hears the whole list anew.
                 first.told(i.ServerList(i.ListKind.ALL, self.directory.entries()))
             for name, room in list(self._rooms.items()):
-                self.allot(name, room)
+                self.set_concurrency_limit(name, room)
             tasks.start_soon(self._follow, tasks)
             tasks.start_soon(front.serve_udp, sock)
             tasks.start_soon(listener.serve, front.serve_tcp)
@@ -282,7 +282,7 @@
                 STILL_COMING,
             )
             for generation in self._generations:
-                generation.engine.give_up()
+                generation.engine.fail_unanswered()
             await wait_until(lambda: not front.unwritten, FLUSH, 0.02)
             tasks.cancel_scope.cancel()
 
@@ -302,7 +302,7 @@
             old = self._generations[-1]
             self._generations.append(generation)
             for name, room in list(self._rooms.items()):  # before its first look-up
-                self.allot(name, room)
+                self.set_concurrency_limit(name, room)
             self._front.follow(self._serving(self._config, generation))
             self._counters.add("enum.generations")
             self._log.event("new_generation", deadline=config.deadline, open_cap=config.open_lookups)
--- a/harepick/enumdns/upstreams.py
+++ b/harepick/enumdns/upstreams.py
@@ -86,7 +86,7 @@
                 data = codec.ask(question, ident, self._payload)
                 # The last look, with nothing between it and the send: a process that is stopped in between
                 # wakes up to send what it may not send any more.
-                if not attempt.may_leave(time.time()):
+                if not attempt.may_send(time.time()):
                     return i.Outcome.MOOT
                 channel.sock.send(data)
             except BlockingIOError:
@@ -98,7 +98,7 @@
                 self._log.event("upstream", server=attempt.server, error=error.strerror)
                 return i.Outcome.UNREACHED
             attempt.sent = now = time.time()
-            if not attempt.may_leave(now):
+            if not attempt.may_send(now):
                 self._count("enum.doubtful")  # this process stood still between the last look and the send
             channel.uses += 1
             channel.open[ident] = attempt
@@ -229,10 +229,10 @@
                     raise OSError(error, "no connection")
             query = codec.ask(question, ident, self._payload)
             query = len(query).to_bytes(2, "big") + query
-            if not attempt.may_leave(time.time()):
+            if not attempt.may_send(time.time()):
                 return None  # told to drain, or out of time, while the connection came up
             sock.send(query)
-            if not attempt.may_leave(time.time()):
+            if not attempt.may_send(time.time()):
                 self._count("enum.doubtful")
             self._count("enum.sent_tcp")
             data = b""
--- a/harepick/fleet/child.py
+++ b/harepick/fleet/child.py
@@ -64,13 +64,13 @@
     from harepick.fleet.maintenance.manager import MaintenanceManager
     from harepick.fleet.maintenance.policy import FleetState
 
-    true = MaintenanceManager.sight
+    true = MaintenanceManager.fleet_state
 
     def sight(self: MaintenanceManager) -> FleetState | None:
         found = true(self)
         return replace(found, failed=found.failed | found.pressed, pressed=frozenset()) if found else None
 
-    MaintenanceManager.sight = sight  # type: ignore[method-assign]
+    MaintenanceManager.fleet_state = sight  # type: ignore[method-assign]
 
 
 def _borrow() -> None:
@@ -80,10 +80,10 @@
     from harepick.fleet.limits.limit_buckets import Bucket
     from harepick.gapping.slot_requests import SlotRequester
 
-    EnumFront.allot = lambda self, name, room: None  # type: ignore[method-assign]
-    Bucket.has = lambda self, now: True  # type: ignore[method-assign]
-    true = CallerBuckets.has
-    CallerBuckets.has = lambda self, caller, now: true(self, caller, now) or True  # type: ignore[method-assign]
+    EnumFront.set_concurrency_limit = lambda self, name, room: None  # type: ignore[method-assign]
+    Bucket.has_token = lambda self, now: True  # type: ignore[method-assign]
+    true = CallerBuckets.has_token
+    CallerBuckets.has_token = lambda self, caller, now: true(self, caller, now) or True  # type: ignore[method-assign]
     SlotRequester.owns = lambda self, gap, slot: True  # type: ignore[method-assign]
 
 
--- a/harepick/fleet/fake_servers.py
+++ b/harepick/fleet/fake_servers.py
@@ -48,11 +48,11 @@
             await anyio.sleep_forever()
 
     def fail(self, name: str, mode: str) -> None:
-        """From now on it is `silent`, or `failing` (answers SERVFAIL at once), until `mend`."""
+        """From now on it is `silent`, or `failing` (answers SERVFAIL at once), until `repair`."""
         self._failed[name] = mode
         self._history.note("server", server=name, mode=mode)
 
-    def mend(self, name: str) -> None:
+    def repair(self, name: str) -> None:
         if self._failed.pop(name, None):
             self._history.note("server", server=name, mode="")
 
--- a/harepick/fleet/health.py
+++ b/harepick/fleet/health.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
 
-    def look(self, avoided: frozenset[str], now: float) -> None:
+    def update(self, avoided: frozenset[str], now: float) -> None:
         """`avoided` is by the module's own doing: not what orders, verdicts or the list keep away from."""
         self._since = {name: self._since.get(name, now) for name in sorted(avoided)}
 
--- a/harepick/fleet/limits/caller_buckets.py
+++ b/harepick/fleet/limits/caller_buckets.py
@@ -129,7 +129,7 @@
             self._count(caller, row, now)
         self._floor = max(self._floor, self._earned(now) - self._cap(""))
 
-    def has(self, caller: str, now: float) -> bool:
+    def has_token(self, caller: str, now: float) -> bool:
         """Whether a call of that caller may pass; counts as one that it offered."""
         row = self._row(caller, now)
         self._rows.move_to_end(caller)
@@ -137,10 +137,10 @@
         row.called = now
         return row.tokens >= 1.0
 
-    def take(self, caller: str) -> None:
+    def take_token(self, caller: str) -> None:
         self._rows[caller].tokens -= 1.0
 
-    def give_back(self, caller: str) -> None:
+    def return_token(self, caller: str) -> None:
         if row := self._rows.get(caller):
             row.tokens = min(self._cap(caller), row.tokens + 1.0)
 
--- a/harepick/fleet/limits/limit_buckets.py
+++ b/harepick/fleet/limits/limit_buckets.py
@@ -83,11 +83,11 @@
         self.share = share
         self.tokens = min(self.tokens, self.cap)
 
-    def has(self, now: float) -> bool:
+    def has_token(self, now: float) -> bool:
         self._fill(now)
         return self.tokens >= 1.0
 
-    def take(self) -> None:
+    def take_token(self) -> None:
         self.tokens -= 1.0
 
     def wait(self) -> float:
@@ -110,13 +110,13 @@
     _since: float = field(default=float("-inf"))
 
     def has(self, source: str, now: float) -> bool:
-        return self.callers.has(source, now) if self.callers is not None else self.bucket.has(now)
+        return self.callers.has_token(source, now) if self.callers is not None else self.bucket.has_token(now)
 
     def take(self, source: str) -> None:
         if self.callers is not None:
-            self.callers.take(source)
+            self.callers.take_token(source)
         else:
-            self.bucket.take()
+            self.bucket.take_token()
 
     def wait(self, source: str) -> float:
         """Seconds for a refused caller to stay away."""
@@ -169,7 +169,7 @@
             uses[limit.id] = use
         self._uses = uses
 
-    def hold(self, shares: Mapping[str, float], now: float) -> None:
+    def set_shares(self, shares: Mapping[str, float], now: float) -> None:
         """This instance's shares, by limit; of one that is not named it holds nothing."""
         named: dict[str, dict[str, float]] = {}
         for key, share in shares.items():
@@ -183,7 +183,7 @@
             else:
                 use.bucket.set(shares.get(name, 0.0), now)
 
-    def spend(
+    def take_tokens(
         self, called: str, class_name: str, source: str, now: float
     ) -> tuple[float | None, Sequence[str]]:
         """None and the limits that the call was counted against, or the seconds to stay away and the limits
@@ -210,13 +210,13 @@
             use.passed += 1
         return None, names
 
-    def give_back(self, names: Iterable[str]) -> None:
+    def return_tokens(self, names: Iterable[str]) -> None:
         """A call that was counted and then refused by something else."""
         for key in names:
             name, _, caller = key.partition("@")
             if use := self._uses.get(name):
                 if use.callers is not None:
-                    use.callers.give_back(caller)
+                    use.callers.return_token(caller)
                 else:
                     use.bucket.tokens = min(use.bucket.cap, use.bucket.tokens + 1.0)
                 use.passed -= 1
@@ -237,7 +237,7 @@
         use = self._uses[name]
         return use.callers.rate(caller) if use.callers is not None else use.bucket.share
 
-    def figures(self) -> dict[str, dict[str, float]]:
+    def statistics(self) -> dict[str, dict[str, float]]:
         return {
             name: {
                 "per_s": use.limit.per_s,
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -75,7 +75,7 @@
             self._replica.node.demand = self._purse.demands(now) | self._heavy() | self._watch.rows(now)
             await self._turn()
             await anyio.sleep(MIN_PAUSE_S)
-            await self._replica.changed(POLL_INTERVAL_S)
+            await self._replica.wait_for_change(POLL_INTERVAL_S)
 
     async def _turn(self) -> None:
         facts, leases = self._facts(), self._replica.leases()
@@ -84,7 +84,7 @@
             self._resting.clear()
             self._auto = AutoGaps()
             return
-        machine = self._replica.node.machine
+        machine = self._replica.node.state_machine
         live, waits = leases
         members = frozenset(m.id for m in self._replica.node.raft.membership.members)
         sight = FleetState(
@@ -102,7 +102,7 @@
         over = self._over()  # never behind the splits: there may be some to make all the time
         async with anyio.create_task_group() as tasks:
             for judge in self._gaps_due(facts):  # none waits for its answer: it comes when all honour it
-                self._replica.suggest(Envelope("", 0, judge))
+                self._replica.change_nowait(Envelope("", 0, judge))
             for step in ([over] if over else []) + steps(machine.shares, due, sight)[:MAX_STEPS]:
                 tasks.start_soon(self._propose, step)
 
@@ -121,7 +121,7 @@
         """Gaps that set themselves, to begin or to go on."""
         if facts.auto is None:
             return []
-        holding = self._replica.node.machine.verdicts.gapped()
+        holding = self._replica.node.state_machine.verdicts.gapped()
         rates = sum_call_rates(self._replica.demands())
         found = []
         for want in self._auto.decide(facts.auto, rates, holding, facts.spared, clock()):
@@ -165,7 +165,7 @@
     def _over(self) -> LiftVerdict | None:
         """The next verdict whose time is over, counted from when this leader first saw it."""
         now = clock()
-        held = self._replica.node.machine.verdicts.all
+        held = self._replica.node.state_machine.verdicts.all
         self._seen = {(v.id, v.version): self._seen.get((v.id, v.version), now) for v in held}
         for verdict in held:
             if now - self._seen[verdict.id, verdict.version] >= verdict.ttl:
@@ -175,7 +175,7 @@
     def _judge(self) -> None:
         """A server that the module here has avoided for so long has failed, for all."""
         facts, now = self._facts(), clock()
-        self._watch.look(facts.avoided if facts else frozenset(), now)
+        self._watch.update(facts.avoided if facts else frozenset(), now)
         if facts is None or facts.plan.failed_after <= 0 or not self._replica.may_act():
             return
         for name, long in self._watch.spans(now).items():
@@ -187,16 +187,16 @@
                     FAILED, name, self._me, long, facts.plan.ttl, f"avoided for {long:.1f} s"
                 )
                 self._told(judge)
-                self._replica.suggest(Envelope("", 0, judge))
+                self._replica.change_nowait(Envelope("", 0, judge))
 
     # What can be seen
 
     def status(self) -> dict[str, Any]:
         """Limits and verdicts as last applied here, with what this instance spent of them."""
-        machine = self._replica.node.machine
+        machine = self._replica.node.state_machine
         facts = self._facts()
         demands: Mapping[str, Mapping[str, float]] = self._replica.demands() if self._leads() else {}
-        here = self._purse.figures()
+        here = self._purse.statistics()
         limits = []
         for limit in facts.limits if facts else ():
             holding = machine.shares.get(caller_limit_key(limit.id, ALL_CALLERS) if limit.each else limit.id)
--- a/harepick/fleet/limits/screen.py
+++ b/harepick/fleet/limits/screen.py
@@ -24,27 +24,27 @@
     ) -> None:
         """`clock`: seconds of which the rate counts; `admitted` hears of each limit that a call counted
         against, `passed` of each number that passed the gaps, and when."""
-        self.purse = purse
+        self.buckets = purse
         self.gaps: Screen | None = None
         self.blocked: tuple[str, ...] = ()  # networks of callers under a verdict
         self.turned_away = 0  # calls of theirs
         self.detector: Detector | None = None  # of numbers that want a gap, where gaps set themselves
         self._clock, self._admitted, self._passed = clock, admitted, passed
 
-    def refuses(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
         if self.blocked and in_networks(source, self.blocked):
             self.turned_away += 1
             return DEFAULT_RETRY_S
         if self.detector is not None:
             self.detector.offered(called, self._clock())
-        if not self.purse and not self.gaps:
+        if not self.buckets and not self.gaps:
             return None
-        wait, names = self.purse.spend(called, class_name, source, self._clock())
+        wait, names = self.buckets.take_tokens(called, class_name, source, self._clock())
         if wait is not None:
             return wait
         if self.gaps:
-            if (wait := self.gaps.refuses(called, class_name, now, source)) is not None:
-                self.purse.give_back(names)
+            if (wait := self.gaps.retry_after(called, class_name, now, source)) is not None:
+                self.buckets.return_tokens(names)
                 return wait
             self._passed(called, now)
         for name in names:
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -51,9 +51,9 @@
 
     @property
     def orders(self) -> Orders:
-        return self._replica.node.machine.orders
+        return self._replica.node.state_machine.orders
 
-    def sight(self) -> FleetState | None:
+    def fleet_state(self) -> FleetState | None:
         """What the rule may be evaluated on; None while this instance can't know it."""
         facts, leases = self._facts(), self._replica.leases()
         if facts is None or leases is None:
@@ -83,10 +83,10 @@
             except (NotLeaderError, BusyError, BadChangeError, StoreUnavailableError):
                 self._counters.add("maint.not_proposed")  # another leads, or comes to: it looks for itself
             await anyio.sleep(MIN_PAUSE_S)
-            await self._replica.changed(POLL_INTERVAL_S)
+            await self._replica.wait_for_change(POLL_INTERVAL_S)
 
     async def _turn(self) -> None:
-        sight, facts = self.sight(), self._facts()
+        sight, facts = self.fleet_state(), self._facts()
         if sight is None or facts is None:
             return
         step = decide(self.orders, facts.plan, sight)
@@ -111,10 +111,10 @@
             return
         facts = self._facts()
         if order.state == "leaving" and not order.idle and facts and facts.idle:
-            self._replica.suggest(Envelope("", 0, ReportIdle(order.id, self._me)))
+            self._replica.change_nowait(Envelope("", 0, ReportIdle(order.id, self._me)))
         if leases := self._replica.leases():  # it leads
             able = leases[0] & frozenset(self._replica.node.raft.membership.voters)  # a learner can't lead
-            heirs = sorted(able - self.orders.barred(CONTROLLER) - {self._me})
+            heirs = sorted(able - self.orders.excluded(CONTROLLER) - {self._me})
             if heirs:
                 self._log.event("maint_hand_over", to=heirs[0], order=order.id)
                 await self._replica.transfer(heirs[0], HAND_OVER)
@@ -141,8 +141,8 @@
 
     def status(self) -> dict[str, Any]:
         """The queue and who is out, as last applied here; `current` tells whether that may be old."""
-        sight, orders = self.sight(), self.orders
-        seats = dict(orders.seats)
+        sight, orders = self.fleet_state(), self.orders
+        seats = dict(orders.controller_states)
         for order in orders.open:
             if order.kind == CONTROLLER and order.state != "waiting":
                 seats[order.machine] = "draining" if order.state == "leaving" else "out"
--- a/harepick/fleet/maintenance/orders.py
+++ b/harepick/fleet/maintenance/orders.py
@@ -124,11 +124,15 @@
         self.version, self._last = state.version, state.last
         self._open = {order.id: order for order in state.open}
         self._ended = list(state.ended)
-        self.seats = dict(state.seats)
+        self.controller_states = dict(state.seats)
 
     def dump(self) -> OrdersState:
         return OrdersState(
-            self.version, self._last, list(self._open.values()), list(self._ended), dict(self.seats)
+            self.version,
+            self._last,
+            list(self._open.values()),
+            list(self._ended),
+            dict(self.controller_states),
         )
 
     @property
@@ -145,7 +149,7 @@
         known = self._open.get(number)
         return known or next((order for order in self._ended if order.id == number), None)
 
-    def barred(self, kind: str) -> frozenset[str]:
+    def excluded(self, kind: str) -> frozenset[str]:
         """Machines that nothing fresh may go to."""
         return frozenset(o.machine for o in self._open.values() if o.kind == kind and o.state != "waiting")
 
@@ -171,9 +175,9 @@
                 if state and state not in SEATS:
                     raise RefusedOrderError(f"a controller is never {state!r}")
                 if state:
-                    self.seats[instance] = state
+                    self.controller_states[instance] = state
                 else:
-                    self.seats.pop(instance, None)
+                    self.controller_states.pop(instance, None)
                 self.version += 1
                 return None
             case ReportIdle(order, instance):
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -77,7 +77,7 @@
         return Hold(f"its window opens in {order.opens - sight.now:.0f} s")
     if sight.now >= order.closes:
         return Hold("its window is over: cancel it, and ask again")
-    barred = orders.barred(order.kind)
+    barred = orders.excluded(order.kind)
     if order.kind == SERVER:
         return _hold_server(order.machine, barred, plan, sight)
     return _hold_controller(order.machine, barred, plan, sight)
@@ -177,12 +177,12 @@
 def seats(orders: Orders, sight: FleetState) -> Iterator[SetControllerState]:
     """Changes of the list of controllers that are due."""
     for name in sight.controllers:
-        known = orders.seats.get(name)
+        known = orders.controller_states.get(name)
         absent = "joining" if known in (None, "joining") else "gone"
         wanted = "serving" if name in sight.live else absent
         if wanted != known:
             yield SetControllerState(name, wanted, orders.version, sight.now)
-    for name in orders.seats:
+    for name in orders.controller_states:
         if name not in sight.controllers:
             yield SetControllerState(name, "", orders.version, sight.now)
 
--- a/harepick/fleet/maintenance_rounds.py
+++ b/harepick/fleet/maintenance_rounds.py
@@ -61,9 +61,9 @@
         """A server is left alone for a while; a controller is restarted."""
         kind, _, name = machine.partition(":")
         if kind == "controller":
-            await play.strike("stop", play.instances[name])
+            await play.apply_fault("stop", play.instances[name])
             await anyio.sleep(self.work)
-            await play.strike("start", play.instances[name])
+            await play.apply_fault("start", play.instances[name])
         else:
             await anyio.sleep(self.work)
         async with play.client() as client:
@@ -80,5 +80,5 @@
             if error.code in FINAL:
                 raise
             if method != "maint_list":
-                client.again()
+                client.repeat_last()
             await anyio.sleep(LOOK)
--- a/harepick/fleet/membership/manager.py
+++ b/harepick/fleet/membership/manager.py
@@ -41,10 +41,10 @@
         self._since: dict[str, float] = {}  # member -> since when it holds no lease, seen while leading
 
     @property
-    def roster(self) -> AbsenceList:
-        return self._replica.node.machine.roster
+    def absences(self) -> AbsenceList:
+        return self._replica.node.state_machine.absences
 
-    def sight(self) -> FleetState | None:
+    def fleet_state(self) -> FleetState | None:
         """None while this instance does not lead, or can't know yet who holds a lease."""
         leases = self._replica.leases()
         if leases is None:
@@ -53,16 +53,16 @@
         raft, now = self._replica.node.raft, clock()
         members = {m.id: Member(m.address, m.voter) for m in raft.membership.members}
         self._since = {name: self._since.get(name, now) for name in members if name not in leases[0]}
-        knocks = self._replica.knocks
-        orders = self._replica.node.machine.orders
+        knocks = self._replica.rejoin_attempts
+        orders = self._replica.node.state_machine.orders
         return FleetState(
             name=self._replica.settings.replica,
             now=time.time(),
             settled=raft.membership_index <= raft.commit,
             members=members,
             gone={name: now - since for name, since in self._since.items()},
-            knocking=frozenset(n for n, at in knocks.items() if n not in members and now - at < KNOCKS),
-            resting=orders.barred("controller"),
+            rejoining=frozenset(n for n, at in knocks.items() if n not in members and now - at < KNOCKS),
+            in_maintenance=orders.excluded("controller"),
         )
 
     async def run(self) -> None:
@@ -75,13 +75,13 @@
                     "roster.not_done"
                 )  # another leads, or a change is under way: it looks anew
             await anyio.sleep(MIN_PAUSE_S)
-            await self._replica.changed(POLL_INTERVAL_S)
+            await self._replica.wait_for_change(POLL_INTERVAL_S)
 
     async def _turn(self) -> None:
-        plan, sight = self._plan(), self.sight()
+        plan, sight = self._plan(), self.fleet_state()
         if plan is None or sight is None:
             return
-        step = decide(self.roster, plan, sight)
+        step = decide(self.absences, plan, sight)
         if step is not None:
             await self._carry_out(step)
 
@@ -108,7 +108,7 @@
     def status(self) -> dict[str, Any]:
         """Who is absent, as last applied here; and, where this instance leads, who is gone and why it still
         is a member."""
-        plan, sight = self._plan() or MembershipSettings(), self.sight()
+        plan, sight = self._plan() or MembershipSettings(), self.fleet_state()
         gone = sight.gone if sight else {}
         return {
             "instance": self._replica.settings.replica,
@@ -117,7 +117,7 @@
             "keep": plan.keep,
             "absent": [
                 {"replica": a.instance, "state": a.state, "address": a.address, "why": a.why, "at": a.at}
-                for a in self.roster.absent
+                for a in self.absences.absent
             ],
             "gone": [
                 {
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -43,8 +43,8 @@
     settled: bool  # no change of the members is under way
     members: Mapping[str, Member]
     gone: Mapping[str, float]  # members that hold no lease -> for how long, by this leader's clock
-    knocking: frozenset[str]  # no members, heard lately, with the folder that was known of them
-    resting: frozenset[str]  # out for work, or on the way: they are expected back
+    rejoining: frozenset[str]  # no members, heard lately, with the folder that was known of them
+    in_maintenance: frozenset[str]  # out for work, or on the way: they are expected back
 
     @property
     def voters(self) -> frozenset[str]:
@@ -69,7 +69,7 @@
     """Why a member may not be dropped; empty if it may."""
     if name == sight.name:
         return "it leads"
-    if name in sight.resting:
+    if name in sight.in_maintenance:
         return "it is out for work"
     if name not in sight.members or not sight.members[name].voter:
         return ""  # a learner has no part in any majority
@@ -104,7 +104,7 @@
     if absent.state == DROPPED:
         if member is not None:
             return _mark(absent, PRESENT, "it was added by hand", roster, sight)
-        if name in sight.knocking:
+        if name in sight.rejoining:
             return _mark(absent, RETURNING, "it came back with its folder", roster, sight)
         return None
     if member is None:
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -264,7 +264,7 @@
         self.relay.changed()
         self.history.note("heal")
         for name in self._servers.names:
-            self._servers.mend(name)
+            self._servers.repair(name)
         for instance in self.instances.values():
             async with self._locks[instance.name]:
                 if instance.state == "paused":
@@ -295,21 +295,21 @@
                 self._strike_server(step)
             case _:
                 for name in self._whom(step):
-                    self._tasks.start_soon(self.strike, step.what, self.instances[name])
+                    self._tasks.start_soon(self.apply_fault, step.what, self.instances[name])
         self.relay.changed()
 
     def _strike_server(self, step: Step) -> None:
         """One is chosen as it fails; the same one is mended."""
         (name,) = self._resolved.get(step.key, step.whom)
         if step.what == "mend_server":
-            self._servers.mend(name)
+            self._servers.repair(name)
             return
         if name == "any":
             name = self._rng.choice(self._servers.well or self._servers.names)
         self._resolved[step.key] = (name,)
         self._servers.fail(name, step.mode)
 
-    async def strike(self, what: str, instance: Instance) -> None:
+    async def apply_fault(self, what: str, instance: Instance) -> None:
         """Does that to an instance, after what is being done to it already."""
         async with self._locks[instance.name]:
             running = instance.state
@@ -414,7 +414,7 @@
             except StoreError as error:
                 if error.code in FINAL:
                     raise RigError(f"change {n} was refused: {error}") from None
-                client.again()
+                client.repeat_last()
         if found["revision"] != n:
             raise RigError(f"change {n} became revision {found['revision']}: somebody else changes the store")
         self.history.note("acked", note=f"n={n}", revision=n)
@@ -422,7 +422,7 @@
     async def _kill_in_change(self, step: Step) -> None:
         await anyio.sleep(self._rng.uniform(0.0, IN_CHANGE))
         for name in self._whom(step):
-            await self.strike("kill", self.instances[name])
+            await self.apply_fault("kill", self.instances[name])
 
     async def _tell_kept(self) -> None:
         """What the store itself says of its history, read through its leader."""
--- a/harepick/gapping/screen.py
+++ b/harepick/gapping/screen.py
@@ -62,7 +62,7 @@
                 self._rows[row.id] = (row, wanted[row.id])
         return told
 
-    def refuses(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
         """None if the call passes every gap that counts for it; else the seconds to stay away: until the gap
         that refused has a turn again, and a share of one interval more drawn from the seed (for a gap that
         passes none, until its end, or 0 if it has none)."""
--- a/harepick/gapping/slot_requests.py
+++ b/harepick/gapping/slot_requests.py
@@ -43,7 +43,7 @@
             return False
         return any(slot in block for block in self._blocks(slot_key(gap, interval), self._me))
 
-    def asks(self, now: float, uses: Iterable[Use]) -> Iterator[SlotRequest]:
+    def due_requests(self, now: float, uses: Iterable[Use]) -> Iterator[SlotRequest]:
         """What is due to be asked for at Unix time `now`; to be called some times a second."""
         uses = list(uses)
         self._intervals = {gap: interval for gap, interval, _ in uses if 0 < interval < BLOCK_ALL}
--- a/harepick/net/bus.py
+++ b/harepick/net/bus.py
@@ -174,7 +174,7 @@
             rows = [f"{e.server} {e.state} {e.started:.3f}" for e in change.entries]
             self._log.event("list", offset=self._directory.offset, rows=rows)
             self._servers.listed(change)
-            self._inbox.tell(ControllerEvent(change))  # it may not be lost if the bus moves just now
+            self._inbox.put_nowait(ControllerEvent(change))  # it may not be lost if the bus moves just now
 
 
 def last_number(event: object) -> int | None:
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -64,7 +64,7 @@
         data = binary.release(self.call, RESET if cut else NORMAL)
         self.hub.release(self.connection, Item(self.call, data, "release"))
 
-    def clashes(self) -> None:
+    def duplicate_id(self) -> None:
         """No release can tell the two calls apart, so the close is this one's answer."""
         if self.connection.open.get(self.call) is self:
             del self.connection.open[self.call]  # its close must not give the other call up
@@ -118,7 +118,7 @@
 
     @property
     def unwritten(self) -> int:
-        return sum(len(c.outbox) + c.outbox.in_hand for c in self._room.connections)
+        return sum(len(c.outbox) + c.outbox.in_flight for c in self._room.connections)
 
     @property
     def hearing(self) -> bool:
@@ -207,7 +207,7 @@
                 self.release(connection, item)
         connection.abandon()
         for call, caller in connection.open.items():
-            self._inbox.tell(CallerGone(call.hex(), caller))
+            self._inbox.put_nowait(CallerGone(call.hex(), caller))
 
     async def _read(self, connection: Connection) -> None:
         decoder = binary.Decoder()
@@ -254,7 +254,7 @@
                     caller.gone = True
                 self._room.over(message.call)
                 if caller:  # a wait that the end of the connection cuts would lose it
-                    self._inbox.tell(CallerGone(message.call.hex(), caller))
+                    self._inbox.put_nowait(CallerGone(message.call.hex(), caller))
                 else:
                     await self._inbox.put(CallerGone(message.call.hex(), None))
                 heard = binary.Message(binary.HEARD, message.call).encode()
--- a/harepick/net/connection_limits.py
+++ b/harepick/net/connection_limits.py
@@ -53,7 +53,7 @@
     @property
     def settled(self) -> bool:
         """Nothing is owed on it: no set-up waits for its answer, and no message for its way out."""
-        return not self.open and not len(self.outbox) and not self.outbox.in_hand
+        return not self.open and not len(self.outbox) and not self.outbox.in_flight
 
     @property
     def unheard(self) -> bool:
--- a/harepick/net/connection_pool.py
+++ b/harepick/net/connection_pool.py
@@ -85,7 +85,7 @@
 
     @property
     def backlog(self) -> int:
-        return sum(len(line.outbox) + line.outbox.in_hand for line in self._lines if line.up)
+        return sum(len(line.outbox) + line.outbox.in_flight for line in self._lines if line.up)
 
     # Orders
 
@@ -147,7 +147,7 @@
     def ended(self, line: ServerConnection) -> None:
         """What was open on it is given up with it; what had not left goes on another, if one comes up."""
         self._lines.remove(line)
-        tell = self.port.inbox.tell
+        tell = self.port.inbox.put_nowait
         if line.up:
             counts = {"open": len(line.open), "standing": len(self.standing), "lines": len(self._lines)}
             self.port.log.event("closed", server=self.server, **counts)
@@ -199,7 +199,7 @@
         self._failed = 0.0
         for line in self._lines:
             line.scope.cancel()
-        self.port.inbox.tell(ServerDied(self.server, now))
+        self.port.inbox.put_nowait(ServerDied(self.server, now))
 
     def listed(self, row: i.ServerEntry, directory: Directory) -> None:
         """What the list tells of this server; the core cuts its calls itself."""
--- a/harepick/net/outbox.py
+++ b/harepick/net/outbox.py
@@ -47,7 +47,7 @@
         self._in_hand = []
 
     @property
-    def in_hand(self) -> int:
+    def in_flight(self) -> int:
         return len(self._in_hand)
 
     def clear(self) -> list[Item]:
--- a/harepick/net/server_connection.py
+++ b/harepick/net/server_connection.py
@@ -84,7 +84,7 @@
     def spare(self) -> bool:
         """Nothing is lost with it. A server says the end of a call on the line of its set-up: what is on its
         way when we close that line never comes."""
-        return self.up and not self.load and not self.outbox.in_hand and not self.calls
+        return self.up and not self.load and not self.outbox.in_flight and not self.calls
 
     def quiet(self, now: float) -> bool:
         """What is open on it has gone without a word for some time: the server is slow, or the line dead."""
@@ -154,7 +154,7 @@
                 with anyio.move_on_after(limit) as scope:
                     data = await stream.receive()
                 if scope.cancelled_caught:
-                    busy = self.load or self.outbox.in_hand or self._link.standing
+                    busy = self.load or self.outbox.in_flight or self._link.standing
                     if begun is None and not busy:
                         return
                     if begun is not None and late:  # looked at twice: not our own delay
@@ -167,7 +167,7 @@
                 for message in decoder.feed(data):
                     count += 1
                     await self._take(message)
-                await self._link.port.inbox.room()
+                await self._link.port.inbox.wait_for_space()
                 if not decoder.pending:
                     begun = None
                 elif count or begun is None:
@@ -308,7 +308,7 @@
                 self._crossing.popitem(last=False)
             self._count("servers.sent_cancel")
             return sip.request("CANCEL", number, attempt.call, CSEQ)
-        if not item.may_leave(now):
+        if not item.may_send(now):
             if not item.ended:
                 self._tell(AttemptOver(item, i.Outcome.MOOT))
             return None
@@ -322,7 +322,7 @@
     def _tell(self, word: Message) -> None:
         """At once: a wait for room in the inbox could be cut by the end of the line, and the word lost. The
         reader waits for room before it takes more."""
-        self._link.port.inbox.tell(word)
+        self._link.port.inbox.put_nowait(word)
 
 
 def request_of(attempt: Attempt) -> Request:
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -102,7 +102,7 @@
         )
         if retuned and self._inbox is not None and self._callers is not None and self._servers is not None:
             self._callers.retune(config.settings.classes)
-            self._inbox.tell(ReplaceSettings(config.settings, config.open_cap))
+            self._inbox.put_nowait(ReplaceSettings(config.settings, config.open_cap))
             self._servers.connect_timeout = config.settings.connect_timeout
             self._servers.idle_close = config.idle_close
             self._longest = min(self._longest, _longest(config.settings))
@@ -230,7 +230,7 @@
         await wait_until(
             lambda: engine.idle and not callers.hearing, grace() - coming, 2 * HANDSHAKE_SETTLE_S
         )
-        engine.give_up()
+        engine.fail_unanswered()
         self._log.event("drained", standing=len(engine), after=round(time.monotonic() - began, 3))
         await wait_until(lambda: engine.idle and not callers.unwritten, hold - (time.monotonic() - began))
         engine.release_all()
--- a/harepick/store/client.py
+++ b/harepick/store/client.py
@@ -84,7 +84,7 @@
             with anyio.move_on_after(0.5, shield=True):
                 await line.stream.aclose()
 
-    def again(self) -> None:
+    def repeat_last(self) -> None:
         """The next `set` or `rollback` repeats the last, whose fate is not known: it takes effect once."""
         self._number -= 1
 
--- a/harepick/store/leases.py
+++ b/harepick/store/leases.py
@@ -58,7 +58,7 @@
     def holds(self, now: float) -> bool:
         return now < self._until
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         return max(0.0, self._until - now)
 
 
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -131,9 +131,9 @@
 
         Raises `FormatError` for a state of another version."""
         self.name = name
-        self.machine = StateMachine()
+        self.state_machine = StateMachine()
         if snapshot.data:
-            self.machine.restore(snapshot.data)
+            self.state_machine.restore(snapshot.data)
         self.raft = raft(name, rng, hard, snapshot, entries)
         self.lease = Lease(lease, rng.getrandbits(62))
         self.grants = Grants(lease)
@@ -162,7 +162,7 @@
 
     @property
     def revision(self) -> Revision | None:
-        return self.machine.latest
+        return self.state_machine.latest
 
     # Inputs
 
@@ -202,7 +202,7 @@
         index, term = self.raft.propose(encode(envelope))
         self._changes[index] = _Change(term, waiter)
 
-    def suggest(self, envelope: Envelope) -> None:
+    def change_nowait(self, envelope: Envelope) -> None:
         """A command that nobody waits for, to whoever leads; lost if nobody does."""
         data = encode(envelope)
         if self.raft.role is Role.LEADER:
@@ -258,16 +258,16 @@
 
     def snapshot_due(self) -> Snapshot | None:
         """A snapshot to be made durable, if it is time; `compacted` follows."""
-        since, applied = self.raft.snapshot.index, self.machine.applied
+        since, applied = self.raft.snapshot.index, self.state_machine.applied
         enough = applied - since >= self._snapshot_every
         large = self.raft.log.size(since + 1, applied) >= SNAPSHOT_BYTES
         return self.take_snapshot() if enough or large else None
 
     def take_snapshot(self) -> Snapshot | None:
-        if self._snapshotting or self.stopped or self.machine.applied <= self.raft.snapshot.index:
+        if self._snapshotting or self.stopped or self.state_machine.applied <= self.raft.snapshot.index:
             return None
         self._snapshotting = True
-        return self.raft.compact(self.machine.applied, self.machine.snapshot())
+        return self.raft.compact(self.state_machine.applied, self.state_machine.snapshot())
 
     def compacted(self, snapshot: Snapshot) -> None:
         self._snapshotting = False
@@ -284,9 +284,9 @@
         leader = self.raft.leader
         if leader == self.name and self.raft.role is Role.LEADER:
             self.demands[self.name] = (now, self.demand)
-            self._asked(self.name, self.lease.ask(now), self.machine.applied, now)
+            self._asked(self.name, self.lease.ask(now), self.state_machine.applied, now)
         elif leader:
-            self._out.append((leader, LeaseRequest(self.lease.ask(now), self.machine.applied)))
+            self._out.append((leader, LeaseRequest(self.lease.ask(now), self.state_machine.applied)))
             if self.demand or self._demanded:  # that there is none any more is told as well, once
                 self._out.append((leader, Demand(dict(self.demand))))
             self._demanded = bool(self.demand)
@@ -337,15 +337,15 @@
         if snapshot is None:
             return
         self.raft.restored = None
-        if snapshot.index <= self.machine.applied:
+        if snapshot.index <= self.state_machine.applied:
             return
         try:
             if snapshot.data:
-                self.machine.restore(snapshot.data)
+                self.state_machine.restore(snapshot.data)
         except FormatError as error:
             self.stop(str(error))
             return
-        self.machine.skip(snapshot.index)
+        self.state_machine.skip(snapshot.index)
         self._after_apply()
 
     @property
@@ -366,12 +366,12 @@
     def _apply_one(self, entry: Entry) -> None:
         change = self._changes.pop(entry.index, None)
         if entry.kind != Kind.COMMAND:
-            self.machine.skip(entry.index)
+            self.state_machine.skip(entry.index)
             if isinstance(change, _Membership):
                 self._answers.append((change.waiter, entry.index))
             return
         try:
-            result = self.machine.apply(entry.index, entry.data)
+            result = self.state_machine.apply(entry.index, entry.data)
         except FormatError as error:
             self.stop(f"entry {entry.index}: {error}")
             return
@@ -388,18 +388,18 @@
 
     def _after_apply(self) -> None:
         """A new revision, new orders, shares or verdicts take effect here, and the leader hears of it."""
-        latest, versions = self.machine.latest, self.machine.news
+        latest, versions = self.state_machine.latest, self.state_machine.versions
         news = False
         if versions != self._news:  # first, so that a revision takes effect under them at once
             self._news, news = versions, True
-            self._follow(self.machine)
+            self._follow(self.state_machine)
         if latest and latest.number != self._revision:
             self._revision, news = latest.number, True
             self._adopt(latest)
         if news and self.raft.leader and self.raft.leader != self.name:
-            self._out.append((self.raft.leader, Adopted(self.machine.applied)))
-        self.lease.applied(self.machine.applied)
-        self.grants.adopted(self.name, self.machine.applied)
+            self._out.append((self.raft.leader, Adopted(self.state_machine.applied)))
+        self.lease.applied(self.state_machine.applied)
+        self.grants.adopted(self.name, self.state_machine.applied)
 
     def _acknowledge(self, now: float) -> None:
         kept = []
@@ -422,7 +422,7 @@
         self.raft.reads.clear()
         waiting = []
         for index, read in self._reads:
-            if self.machine.applied >= index:
+            if self.state_machine.applied >= index:
                 self._answers.append((read.waiter, index))
             else:
                 waiting.append((index, read))
--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -149,7 +149,7 @@
     async def get(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
         await self._fresh(arguments, wait)
         number = _optional(arguments, "revision")
-        machine = self._replica.node.machine
+        machine = self._replica.node.state_machine
         revision = machine.latest if number is None else machine.revision(number)
         if revision is None:
             raise OutcomeError(
@@ -160,11 +160,11 @@
     async def history(self, arguments: dict[str, Any], wait: float) -> list[dict[str, Any]]:
         await self._fresh(arguments, wait)
         most = argument_number(arguments, "most", 20)
-        return [told(r, text=False) for r in self._replica.node.machine.history(most)]
+        return [told(r, text=False) for r in self._replica.node.state_machine.history(most)]
 
     async def views(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
         await self._fresh(arguments, wait)
-        views = self._replica.node.machine.views
+        views = self._replica.node.state_machine.views
         fields = ("server", "number", "state", "size", "started", "zone", "address")
         return {
             name: {"at": view.at, "rows": [{f: getattr(row, f) for f in fields} for row in view.rows]}
@@ -182,9 +182,9 @@
         except BadRequestError as error:
             await self._send(stream, Response(request.id, error="bad_request", text=str(error)))
             return
-        machine = self._replica.node.machine
+        machine = self._replica.node.state_machine
         while True:
-            machine = self._replica.node.machine
+            machine = self._replica.node.state_machine
             latest = machine.latest.number if machine.latest else 0
             while last < latest:
                 revision = machine.revision(last + 1)
@@ -196,7 +196,7 @@
                 last += 1
             if machine.latest and machine.latest.number > last:
                 continue
-            await self._replica.changed(BEAT)
+            await self._replica.wait_for_change(BEAT)
             if not machine.latest or machine.latest.number <= last:
                 await self._send(stream, Response(request.id, {"latest": last}, more=True))
 
@@ -206,7 +206,7 @@
         text = argument_text(arguments, "text")
         read_store_config(text)  # the same reader as the file's, before anything is proposed
         if may_need_start_times(text):
-            latest = self._replica.node.machine.latest
+            latest = self._replica.node.state_machine.latest
             text = await run_sync(with_start_times, text, latest.text if latest else "", time.time())
         body = Put(
             text,
@@ -220,7 +220,7 @@
     async def rollback(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
         to = argument_number(arguments, "to")
         await self._replica.read(wait)
-        old = self._replica.node.machine.revision(to)
+        old = self._replica.node.state_machine.revision(to)
         if old is None:
             raise OutcomeError("no_revision", f"revision {to} is not kept")
         read_store_config(old.text)  # this version may read differently from the one that took it
@@ -245,9 +245,11 @@
     async def remove(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
         name = argument_text(arguments, "replica")
         found: dict[str, Any] = {}
-        if self._replica.node.raft.membership.get(name) or not self._replica.node.machine.roster.get(name):
+        if self._replica.node.raft.membership.get(name) or not self._replica.node.state_machine.absences.get(
+            name
+        ):
             found = _result(await self._replica.remove(name, wait))
-        roster = self._replica.node.machine.roster
+        roster = self._replica.node.state_machine.absences
         if roster.get(name):  # for good: it is not taken back when it returns
             mark = SetMemberState(name, PRESENT, roster.version, why="removed by hand")
             answer = await self._replica.change(Envelope("", 0, mark), wait)
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -152,7 +152,7 @@
         return next(m for at, m in reversed(self._memberships) if at <= index)
 
     @property
-    def settled_membership(self) -> tuple[int, Membership]:
+    def committed_membership(self) -> tuple[int, Membership]:
         """The latest that is committed here, and the entry that it came with or was compacted to."""
         return next(row for row in reversed(self._memberships) if row[0] <= self.commit)
 
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -107,7 +107,7 @@
         self._changed = anyio.Event()  # something to look at: a revision, a role, members
         self._seen: tuple[object, ...] = ()
         self._members_seen: object = None
-        self.knocks: dict[str, float] = {}  # no member, but known by its folder -> when turned away last
+        self.rejoin_attempts: dict[str, float] = {}  # known folder, no member -> when turned away last
         self._stopped_told = False
         self.identity: Identity
         self.node: Node
@@ -156,7 +156,7 @@
         self.transport = Transport(
             self.identity, self.settings.listen, pins, self._heard, self._pin, self._counters, self._log
         )
-        self.transport.knocked = self._knocked
+        self.transport.on_rejoin_attempt = self._knocked
         self._log.event(
             "store_open",
             replica=self.identity.replica,
@@ -224,7 +224,7 @@
             for _, waiter in self._wanted:
                 waiter.set(over)
             self._wanted.clear()
-        elif index <= self.node.machine.applied:
+        elif index <= self.node.state_machine.applied:
             for least, waiter in self._wanted:
                 if least <= index:
                     waiter.set(index)
@@ -253,11 +253,11 @@
             self.notify()
 
     def notify(self) -> None:
-        """Wakes all who wait in `changed`."""
+        """Wakes all who wait in `wait_for_change`."""
         self._changed.set()
         self._changed = anyio.Event()
 
-    async def changed(self, most: float) -> None:
+    async def wait_for_change(self, most: float) -> None:
         """Returns after the next change of revision, role or state, or after `most` seconds."""
         with anyio.move_on_after(most):
             await self._changed.wait()
@@ -288,7 +288,7 @@
         self._put(lambda: self.node.receive(sender, message, clock()))
 
     def _knocked(self, name: str) -> None:
-        self.knocks[name] = clock()  # bounded as the pins are: by all who ever were members
+        self.rejoin_attempts[name] = clock()  # bounded as the pins are: by all who ever were members
 
     async def _ask(self, work: Callable[[_Waiter], Any], most: float) -> Answer:
         """Has the owning task carry that out, and waits for the answer, for `most` seconds."""
@@ -333,7 +333,7 @@
         await self._ask(work, most)
         with anyio.move_on_after(most):
             while self.node.raft.role is Role.LEADER and name != self.identity.replica:
-                await self.changed(0.1)
+                await self.wait_for_change(0.1)
             return
         raise StoreUnavailableError(f"{name} did not take over in {most:g} s")
 
@@ -346,15 +346,15 @@
         def work(waiter: _Waiter) -> None:
             if len(self._wanted) >= SNAPSHOTS:
                 raise StoreUnavailableError("too many wait for a snapshot")
-            self._wanted.append((self.node.machine.applied, waiter))
+            self._wanted.append((self.node.state_machine.applied, waiter))
 
         answer = await self._ask(work, most)
         assert isinstance(answer, int)
         return answer
 
-    def suggest(self, envelope: Envelope) -> None:
+    def change_nowait(self, envelope: Envelope) -> None:
         """A command that nobody waits for, and that may be lost."""
-        self._put(lambda: self.node.suggest(envelope))
+        self._put(lambda: self.node.change_nowait(envelope))
 
     # The disk
 
@@ -423,9 +423,9 @@
 
     def lease_left(self) -> float:
         """Seconds for which this instance may still act, by its own clock."""
-        return self.node.lease.left(clock())
+        return self.node.lease.remaining(clock())
 
-    def come_back(self) -> float:
+    def retry_after(self) -> float:
         """Seconds after which a refused caller may find this instance current."""
         return STOPPED_COME_BACK if self.node.stopped else self.settings.lease
 
@@ -441,13 +441,13 @@
             "leader": raft.leader,
             "leader_address": self.leader_address(),
             "commit": raft.commit,
-            "applied": node.machine.applied,
+            "applied": node.state_machine.applied,
             "last": raft.log.last_index,
             "durable": raft.log.stable,
             "snapshot": raft.snapshot.index,
             "revision": latest.number if latest else 0,
             "current": self.may_act(),
-            "lease_left_ms": round(node.lease.left(now) * 1000),
+            "lease_left_ms": round(node.lease.remaining(now) * 1000),
             "members": [
                 {
                     "replica": m.id,
@@ -459,7 +459,7 @@
             ],
             "absent": [
                 {"replica": row.instance, "address": row.address, "state": row.state, "why": row.why}
-                for row in node.machine.roster.absent
+                for row in node.state_machine.absences.absent
             ],
             "peers": self.transport.status(),
         }
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -111,15 +111,17 @@
         self._orders = 0  # version of the orders that is followed
         self._remembered = False
         nothing = replace(read_store_config(PLACEHOLDER_CONFIG, self._own), upstreams=())
-        self.purse = LimitBuckets()
-        self.screen = FleetScreen(self.purse, clock, self._admitted, self._passed)
+        self.buckets = LimitBuckets()
+        self.screen = FleetScreen(self.buckets, clock, self._admitted, self._passed)
         self.front = EnumFront(nothing, counters, log, gate=self, outer=self.screen)
         self.turns = SlotRequester(settings.replica, self._blocks, time.time())
         self.front.owns = self.turns.owns
         self.replica = Replica(settings, counters, log, self._adopt, self._follow)
-        self.steward = MaintenanceManager(self.replica, self._facts, counters, log)
-        self.limits = LimitManager(self.replica, self.purse, self._limit_facts, counters, log, self._judging)
-        self.roster = MembershipManager(self.replica, self._roster_plan, counters, log)
+        self.maintenance = MaintenanceManager(self.replica, self._facts, counters, log)
+        self.limits = LimitManager(
+            self.replica, self.buckets, self._limit_facts, counters, log, self._judging
+        )
+        self.membership = MembershipManager(self.replica, self._roster_plan, counters, log)
         self._auto_gaps: tuple[GapRow, ...] = ()  # those that the fleet has set by itself
         self._judged: frozenset[str] = frozenset()  # servers under a verdict, by name
         self._honoured: frozenset[str] = frozenset()  # of these, the ones that fresh calls keep away from
@@ -140,13 +142,13 @@
 
     # The gate
 
-    def shut(self) -> float | None:
+    def closed_for(self) -> float | None:
         if self._revision and self.replica.may_act() and self._handing_over() not in CLOSED_STAGES:
             self._served = True
             return None
-        return self.replica.come_back()
+        return self.replica.retry_after()
 
-    def may_leave(self, server: str) -> bool:
+    def may_send(self, server: str) -> bool:
         return server in self._allowed and self.replica.may_act() and self._stage != OUT
 
     def _handing_over(self) -> str:
@@ -159,10 +161,10 @@
                 self._history.note("handover", stage=stage)
         return stage
 
-    def left(self, attempt: Attempt) -> None:
+    def record_sent(self, attempt: Attempt) -> None:
         if self._history:
             # The time of the last look: an acknowledgement after it may have crossed the bytes.
-            looked = time.monotonic() - (time.time() - attempt.looked)
+            looked = time.monotonic() - (time.time() - attempt.checked_at)
             self._history.note(
                 "left",
                 mono=looked,
@@ -176,7 +178,7 @@
     def _adopt(self, revision: Revision) -> None:
         """From here on nothing leaves under an older one."""
         self._config = config = read_store_config(revision.text, self._own)
-        self.purse.configure(config.limits, clock())
+        self.buckets.configure(config.limits, clock())
         self._hold_shares()
         if (config.autogap is None) != (self.limits.detector is None):
             self.limits.detector = self.screen.detector = Detector() if config.autogap else None
@@ -203,8 +205,8 @@
 
     def _hold_shares(self) -> None:
         """This instance's part of every limit, as last applied."""
-        me, limits = self.settings.replica, self.replica.node.machine.shares.limits
-        self.purse.hold({name: known.shares.get(me, 0.0) for name, known in limits.items()}, clock())
+        me, limits = self.settings.replica, self.replica.node.state_machine.shares.limits
+        self.buckets.set_shares({name: known.shares.get(me, 0.0) for name, known in limits.items()}, clock())
 
     def _follow(self, machine: StateMachine) -> None:
         """From here on nothing fresh leaves for a machine that is leaving or out, or against a verdict, and
@@ -248,7 +250,7 @@
                         index=order.index,
                     )
         self._orders = orders.version
-        self._barred = orders.barred(SERVER)
+        self._barred = orders.excluded(SERVER)
         plan = (self._config.maintenance if self._config else None) or MaintenanceSettings()
         own = orders.of(CONTROLLER, self.settings.replica)
         self._handover.follow(own, clock(), plan.handover, self._served)
@@ -268,15 +270,15 @@
         config = self._config
         if config is None:
             return
-        shares, me = self.replica.node.machine.shares, self.settings.replica
+        shares, me = self.replica.node.state_machine.shares, self.settings.replica
         young = clock() - self._began < config.deadline * CLOCK_RATE_MARGIN
         for name in self._unbound:
-            self.front.allot(name, inf)
+            self.front.set_concurrency_limit(name, inf)
         self._unbound = set()
         self._bound = {limit.server for limit in config.limits if limit.server}
         for limit in config.limits:
             if limit.server:
-                self.front.allot(limit.server, 0.0 if young else shares.share(limit.id, me))
+                self.front.set_concurrency_limit(limit.server, 0.0 if young else shares.share(limit.id, me))
 
     async def _allot_again(self) -> None:
         """As old generations end, and once this process is no longer young."""
@@ -299,7 +301,7 @@
         config = self._config
         if config is None:
             return None
-        verdicts = self.replica.node.machine.verdicts
+        verdicts = self.replica.node.state_machine.verdicts
         return MaintenanceInputs(
             plan=config.maintenance or MaintenanceSettings(),
             revision=self._revision,
@@ -350,7 +352,7 @@
     # What the ops listener tells
 
     def ready(self) -> bool:
-        return self._serving and self.shut() is None and self._stage == SERVING
+        return self._serving and self.closed_for() is None and self._stage == SERVING
 
     def telemetry(self) -> Telemetry:
         from harepick.ops import Telemetry
@@ -371,13 +373,13 @@
         self, stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
         async with anyio.create_task_group() as tasks:
-            desk = MaintenanceApi(self.replica, self.steward, self._names)
+            desk = MaintenanceApi(self.replica, self.maintenance, self._names)
             limits = LimitApi(self.replica, self.limits, self._names)
             OperatorApi(self.replica, self._counters, desk.methods | limits.methods)
             await tasks.start(self.replica.run)
-            tasks.start_soon(self.steward.run)
+            tasks.start_soon(self.maintenance.run)
             tasks.start_soon(self.limits.run)
-            tasks.start_soon(self.roster.run)
+            tasks.start_soon(self.membership.run)
             tasks.start_soon(self._ask_turns)
             tasks.start_soon(self._allot_again)
             tasks.start_soon(self._tell_view)
@@ -387,9 +389,9 @@
                 from harepick.ops import OpsListener
 
                 pages = {
-                    "/api/maintenance": self.steward.status,
+                    "/api/maintenance": self.maintenance.status,
                     "/api/limits": self.limits.status,
-                    "/api/members": self.roster.status,
+                    "/api/members": self.membership.status,
                 }
                 await tasks.start(OpsListener(self._ops, self, self._counters, self._log, pages).run)
                 tasks.start_soon(self._until_stopped, stop)
@@ -411,7 +413,7 @@
         settled: object = None
         while True:
             node = self.replica.node
-            told = node.raft.settled_membership
+            told = node.raft.committed_membership
             if told != settled:
                 settled = told
                 history.note("voters", voters=told[1].voters, index=told[0])
@@ -419,10 +421,10 @@
             if now != seen:
                 seen = now
                 history.note("role", role=now[0], term=now[1], leader=now[2], stopped=now[3])
-            await self.replica.changed(HISTORY_EVERY)
+            await self.replica.wait_for_change(HISTORY_EVERY)
 
     def _blocks(self, name: str, instance: str) -> list[SlotBlock]:
-        return self.replica.node.machine.turns.blocks(name, instance)
+        return self.replica.node.state_machine.slots.blocks(name, instance)
 
     async def _ask_turns(self) -> None:
         """Turns of gaps, as long as calls come for them here: a message for some slots, never for a call."""
@@ -431,9 +433,9 @@
             gaps = self.front.gaps
             if gaps is None or not self.replica.may_act():
                 continue
-            for ask in self.turns.asks(time.time(), gaps.uses()):
+            for ask in self.turns.due_requests(time.time(), gaps.uses()):
                 body = RequestSlots(ask.instance, ask.gap, ask.first, ask.demand, time.time(), ask.most)
-                self.replica.suggest(Envelope("", 0, body))
+                self.replica.change_nowait(Envelope("", 0, body))
                 self._counters.add("gaps.asked")
 
     async def _write_first(self, text: str) -> None:
@@ -456,7 +458,7 @@
 
     def _remember(self) -> None:
         """What this instance knew last goes to the module as the remembered list."""
-        view = self.replica.node.machine.views.get(self.settings.replica)
+        view = self.replica.node.state_machine.views.get(self.settings.replica)
         if view is None:
             return
         rows = []
@@ -493,10 +495,10 @@
             if not self._revision or not self.replica.may_act():
                 continue
             rows = self._rows()
-            known = self.replica.node.machine.views.get(self.settings.replica)
+            known = self.replica.node.state_machine.views.get(self.settings.replica)
             if known is None or known.rows != rows:
                 view = PoolView(self.settings.replica, rows, at=time.time())
-                self.replica.suggest(Envelope("", 0, view))
+                self.replica.change_nowait(Envelope("", 0, view))
                 self._counters.add("store.views")
 
 
--- a/harepick/store/state_machine.py
+++ b/harepick/store/state_machine.py
@@ -211,11 +211,11 @@
         self._history = 0  # bytes of their texts
         self._sessions: OrderedDict[str, Session] = OrderedDict()
         self.views: dict[str, PoolView] = {}
-        self.turns = SlotAllocator()  # of gaps' slots over the fleet
+        self.slots = SlotAllocator()  # of gaps' slots over the fleet
         self.orders = Orders()  # machines out for work
         self.shares = Shares()  # of limits
         self.verdicts = Verdicts()
-        self.roster = AbsenceList()  # of absent members
+        self.absences = AbsenceList()  # of absent members
 
     @property
     def latest(self) -> Revision | None:
@@ -273,7 +273,7 @@
                     del self.views[next(iter(self.views))]
                 return Done(self.latest.number if self.latest else 0, index)
             case RequestSlots(instance, gap, first, demand, _, most):
-                block = self.turns.apply(SlotRequest(instance, gap, first, demand, most))
+                block = self.slots.apply(SlotRequest(instance, gap, first, demand, most))
                 return SlotsGranted(gap, block.first, block.length, index)
             case Split() | ReleaseOwed():
                 return self._share(index, command)
@@ -285,7 +285,7 @@
                 return Done(number, index) if isinstance(command, IssueVerdict) else StepApplied(index)
             case SetMemberState():
                 try:
-                    self.roster.apply(command)
+                    self.absences.apply(command)
                 except RefusedMemberStateError as error:
                     return Refused(str(error))
                 return StepApplied(index)
@@ -319,7 +319,7 @@
         return StepApplied(index)
 
     @property
-    def news(self) -> tuple[int, int, int]:
+    def versions(self) -> tuple[int, int, int]:
         """Versions of what instances have to follow at once: orders, shares and verdicts."""
         return (self.orders.version, self.shares.version, self.verdicts.version)
 
@@ -346,11 +346,11 @@
             list(self._revisions.values()),
             list(self._sessions.items()),
             self.views,
-            self.turns.dump(),
+            self.slots.dump(),
             self.orders.dump(),
             self.shares.dump(),
             self.verdicts.dump(),
-            self.roster.dump(),
+            self.absences.dump(),
         )
         return bytes([FORMAT]) + msgspec.msgpack.encode(state)
 
@@ -367,9 +367,9 @@
         self._history = sum(len(r.text) for r in state.revisions)
         self._sessions = OrderedDict(state.sessions)
         self.views = state.views
-        self.turns = SlotAllocator()
-        self.turns.load(state.turns)
+        self.slots = SlotAllocator()
+        self.slots.load(state.turns)
         self.orders = Orders(state.orders)
         self.shares = Shares(state.shares)
         self.verdicts = Verdicts(state.verdicts)
-        self.roster = AbsenceList(state.roster)
+        self.absences = AbsenceList(state.roster)
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -77,7 +77,7 @@
         self._tasks: TaskGroup | None = None
         self._may_speak: Callable[[str], bool] = lambda name: True
         self._knows_members = False
-        self.knocked: Callable[[str], None] = lambda name: None  # no member, but known by its folder
+        self.on_rejoin_attempt: Callable[[str], None] = lambda name: None  # known folder, no member
         self.serve_tool: Serve | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
@@ -272,7 +272,7 @@
             return f"replica {hello.replica!r} is this one"
         if not self._may_speak(hello.replica):
             if self._pins.get(hello.replica) == hello.folder:
-                self.knocked(hello.replica)
+                self.on_rejoin_attempt(hello.replica)
             return f"replica {hello.replica!r} is no member"
         if len(self._heard) >= MAX_PEERS:
             return "too many peers"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -619,7 +619,7 @@
         sock, _ = await opened(hub, port)
         (offer,) = await hub.words(Offer)
         while len(hub.inbox) < ROOM:
-            hub.inbox.tell(CallerGone("another"))
+            hub.inbox.put_nowait(CallerGone("another"))
         sock.close()
         await met(lambda: offer.caller.gone)
         tasks.cancel_scope.cancel()
@@ -649,7 +649,7 @@
     """In one go it held the loop for most of a second, and nothing that callers said meanwhile was read."""
     inbox = Inbox()
     for n in range(2 * BATCH + 3):
-        inbox.tell(CallerGone(str(n)))
+        inbox.put_nowait(CallerGone(str(n)))
     heard = [await inbox.drain(0) for _ in range(4)]
     assert [len(batch) for batch in heard] == [BATCH, BATCH, 3, 0]
     assert [w.call for batch in heard for w in batch if isinstance(w, CallerGone)] == [
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -70,7 +70,7 @@
     world.after(60.0)
     for server in world.c.servers.values():
         kept = server.gate.made - server.gate.used
-        assert kept <= 2.0 * server.rmax / world.c._carried(server) + 1.0
+        assert kept <= 2.0 * server.max_gate_rate / world.c._carried(server) + 1.0
 
 
 def test_r_loosens_as_slowly_as_news_comes() -> None:
@@ -78,10 +78,10 @@
     world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"avg_ms": 900.0}))
     world.after(2.0)
     server = world.c.servers["s0"]
-    assert server.u == 1 and server.eased
-    tight = server.r
+    assert server.throttle == 1 and server.eased
+    tight = server.gate_rate
     world.after(1.0)
-    assert tight < server.r < tight + (server.rmax - tight) / 3
+    assert tight < server.gate_rate < tight + (server.max_gate_rate - tight) / 3
 
 
 def test_redials_raise_neither_the_fair_share_nor_rmax() -> None:
@@ -121,7 +121,10 @@
         if world.sent_to(name) not in ("s0", None):
             world.stand(name)
         world.after(0.97)
-    assert world.c.servers["s0"].r < 0.8 * world.c.servers["s0"].rmax or not world.c.servers["s0"].u
+    assert (
+        world.c.servers["s0"].gate_rate < 0.8 * world.c.servers["s0"].max_gate_rate
+        or not world.c.servers["s0"].throttle
+    )
 
 
 def test_a_server_out_of_lines_shuts_only_when_it_recurs() -> None:
@@ -133,7 +136,7 @@
             world.end(name, i.Outcome.FULL, cause=1)
         world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"free": 3}))
         world.after(0.3)
-        shut.append(not world.c.servers["s0"].u)
+        shut.append(not world.c.servers["s0"].throttle)
     assert not shut[0] and any(shut)
 
 
@@ -147,9 +150,9 @@
         world.after(2.0)
         server.gap = 1.0
         world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"avg_ms": wait}))
-        before = server.r
+        before = server.gate_rate
         world.after(1.0)
-        gains.append(server.r - before)
+        gains.append(server.gate_rate - before)
     assert gains[0] > 1.5 * gains[1] > 0.0
 
 
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -61,8 +61,8 @@
         self.settings = settings(may_cancel=cancelling)
         self.engine = Engine(self.settings, seed, self, Inbox(), Counters(), LOG, clock=lambda: self.now)
         rows = tuple(i.ServerEntry(f"s{n}", n, "ready") for n in range(2))
-        self.engine.begin(i.ServerList(i.ListKind.REMEMBERED, rows))
-        self.engine.turn([Offer(CALL, "a", 0, 77, self.now + PATIENCE, self, None)])
+        self.engine.start(i.ServerList(i.ListKind.REMEMBERED, rows))
+        self.engine.process([Offer(CALL, "a", 0, 77, self.now + PATIENCE, self, None)])
         self.deadline = self.now + PATIENCE
 
     # The caller
@@ -88,7 +88,7 @@
         if self.finals != ["stands"] or self.releases > 1:
             raise BrokenError("a release of what does not stand")
 
-    def clashes(self) -> None:
+    def duplicate_id(self) -> None:
         raise BrokenError("a clash")
 
     # The servers' port
@@ -115,12 +115,12 @@
 
     def turn(self) -> None:
         words, self.words = self.words, []
-        self.engine.turn(words)
+        self.engine.process(words)
         self.now += 0.005
 
     def on_leaves(self) -> None:
         for attempt in self.waiting:
-            if not attempt.may_leave(self.now):
+            if not attempt.may_send(self.now):
                 if not attempt.ended:
                     self.words.append(AttemptOver(attempt, i.Outcome.MOOT))
                 continue
@@ -220,7 +220,7 @@
 
     def on_closing(self) -> None:
         """The end of a drain: what is unanswered fails."""
-        self.engine.give_up()
+        self.engine.fail_unanswered()
 
     # The end
 
@@ -284,7 +284,7 @@
         return rule == "told off" or attempt.server in self._ready
 
     if rule in ("gone", "told off"):
-        monkeypatch.setattr(core.Engine, "_may_leave", may_leave)
+        monkeypatch.setattr(core.Engine, "_may_send", may_leave)
     elif rule == "late answer":
         monkeypatch.setattr(Play, "release", lambda self, server, call: None)
     else:
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -22,11 +22,11 @@
 
 def test_a_span_ends_with_the_first_look_that_does_not_find_it() -> None:
     watch = AvoidanceTracker()
-    watch.look(frozenset({"s0", "s1"}), 10.0)
-    watch.look(frozenset({"s0"}), 11.0)
-    watch.look(frozenset({"s0", "s1"}), 12.0)
+    watch.update(frozenset({"s0", "s1"}), 10.0)
+    watch.update(frozenset({"s0"}), 11.0)
+    watch.update(frozenset({"s0", "s1"}), 12.0)
     assert watch.spans(13.0) == {"s0": 3.0, "s1": 1.0} and list(watch.spans(13.0)) == ["s0", "s1"]
-    watch.look(frozenset(f"s{n}" for n in range(200)), 14.0)
+    watch.update(frozenset(f"s{n}" for n in range(200)), 14.0)
     assert len(watch.rows(15.0)) == MOST and watch.rows(15.0)["!s0"] == 5.0
 
 
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -174,13 +174,13 @@
 ) -> None:
     bucket, now, passed = Bucket(burst), 0.0, []
     bucket.set(share, now)
-    assert not bucket.has(now), "a bucket begins empty"
+    assert not bucket.has_token(now), "a bucket begins empty"
     for n, gap in enumerate(gaps):
         now += gap
         if n == len(gaps) // 2:
             bucket.set(new, now)
-        if bucket.has(now):
-            bucket.take()
+        if bucket.has_token(now):
+            bucket.take_token()
             passed.append(now)
     high = max(share, new)
     for k, start in enumerate(passed):
@@ -192,24 +192,24 @@
 def test_a_call_takes_a_token_of_each_limit_that_it_meets_or_none() -> None:
     purse = LimitBuckets()
     purse.configure([Limit("all", 10.0, prefixes=("+94",)), Limit("one", 1.0, prefixes=("+9411",))])
-    purse.hold({"all": 10.0, "one": 1.0}, 0.0)
-    assert purse.spend("+94112", "", "", 1.0) == (None, ["all", "one"])
-    wait, _ = purse.spend("+94112", "", "", 1.0)
+    purse.set_shares({"all": 10.0, "one": 1.0}, 0.0)
+    assert purse.take_tokens("+94112", "", "", 1.0) == (None, ["all", "one"])
+    wait, _ = purse.take_tokens("+94112", "", "", 1.0)
     assert wait == pytest.approx(1.0)
-    figures = purse.figures()
+    figures = purse.statistics()
     assert (figures["all"]["passed"], figures["all"]["refused"]) == (1, 0)
     assert (figures["one"]["passed"], figures["one"]["refused"]) == (1, 1)
-    assert sum(purse.spend("+9455", "", "", 1.0)[0] is None for _ in range(20)) == 9
-    assert purse.spend("+1", "", "", 1.0) == (None, [])
+    assert sum(purse.take_tokens("+9455", "", "", 1.0)[0] is None for _ in range(20)) == 9
+    assert purse.take_tokens("+1", "", "", 1.0) == (None, [])
 
 
 def test_without_a_share_nothing_passes_and_a_changed_limit_keeps_its_tokens() -> None:
     purse = LimitBuckets()
     purse.configure([Limit("x", 10.0, prefixes=("+94",))])
-    assert purse.spend("+94", "", "", 5.0)[0] is not None
-    purse.hold({"x": 10.0}, 5.0)
+    assert purse.take_tokens("+94", "", "", 5.0)[0] is not None
+    purse.set_shares({"x": 10.0}, 5.0)
     purse.configure([Limit("x", 10.0, burst_s=0.5, prefixes=("+94",))])
-    assert sum(purse.spend("+94", "", "", 9.0)[0] is None for _ in range(20)) == 5
+    assert sum(purse.take_tokens("+94", "", "", 9.0)[0] is None for _ in range(20)) == 5
 
 
 def test_limits_by_caller_and_class_and_a_demand_that_is_measured() -> None:
@@ -220,7 +220,7 @@
     purse = LimitBuckets()
     purse.configure([limit])
     for n in range(400):
-        purse.spend("+94", "look-up", "10.0.0.1", n / 100)
+        purse.take_tokens("+94", "look-up", "10.0.0.1", n / 100)
         if n % 20 == 0:
             rate = purse.demands(n / 100)["x"]
     assert rate == pytest.approx(100.0, rel=0.1)
@@ -267,34 +267,34 @@
                 bucket.burst_s = cap() / base
             bucket._fill(now)
             bucket.tokens = min(bucket.tokens, cap())
-        if table.has(caller, now):
-            table.take(caller)
+        if table.has_token(caller, now):
+            table.take_token(caller)
             assert exact[caller].tokens >= 1.0 - 1e-6, f"{caller} passed at {now} without a token"
-            exact[caller].take()
+            exact[caller].take_token()
         assert len(table) <= most
 
 
 def test_a_caller_by_name_gets_its_share_beside_the_base_and_is_told_of_while_it_wants_more() -> None:
     purse = LimitBuckets()
     purse.configure([Limit("x", 40.0, burst_s=0.5, each=True)])
-    purse.hold({"x@*": 2.0, "x@u": 6.0}, 0.0)
+    purse.set_shares({"x@*": 2.0, "x@u": 6.0}, 0.0)
     passed = [0, 0]
     for n in range(400):  # u wants 20 a second, v one
-        passed[0] += purse.spend("+94", "", "u", n / 20)[0] is None
+        passed[0] += purse.take_tokens("+94", "", "u", n / 20)[0] is None
         if n % 20 == 0:
-            passed[1] += purse.spend("+94", "", "v", n / 20)[0] is None
+            passed[1] += purse.take_tokens("+94", "", "v", n / 20)[0] is None
             told = purse.demands(n / 20)
     assert 8 * 19 - 1 <= passed[0] <= 8 * 20 + 4 and passed[1] >= 19
     assert told.keys() == {"x@u"} and told["x@u"] == pytest.approx(20.0, rel=0.2)
-    while (found := purse.spend("+94", "", "u", 20.0))[0] is None:
+    while (found := purse.take_tokens("+94", "", "u", 20.0))[0] is None:
         pass
     wait, names = found
     assert names == ["x@u"] and wait is not None and 0 < wait <= 1 / 8
-    assert purse.spend("+94", "", "", 20.0) == (None, ["x@unknown"])
-    purse.give_back(["x@unknown"])
-    assert purse.figures()["x"]["callers"] == 3
-    purse.hold({}, 21.0)  # nothing is held any more
-    assert purse.spend("+94", "", "v", 30.0)[0] == 1.0
+    assert purse.take_tokens("+94", "", "", 20.0) == (None, ["x@unknown"])
+    purse.return_tokens(["x@unknown"])
+    assert purse.statistics()["x"]["callers"] == 3
+    purse.set_shares({}, 21.0)  # nothing is held any more
+    assert purse.take_tokens("+94", "", "v", 30.0)[0] == 1.0
 
 
 def test_the_greediest_callers_are_shared_out_by_name_and_two_alike_do_not_take_turns() -> None:
@@ -316,7 +316,7 @@
     def __init__(self) -> None:
         self.wait: float | None = 3.0
 
-    def refuses(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
         return self.wait
 
     def ended(self, called: str, good: bool) -> None: ...
@@ -327,15 +327,15 @@
     admitted: list[str] = []
     purse.configure([Limit("x", 1.0, prefixes=("+94",))])
     screen = FleetScreen(purse, lambda: 1.0, admitted.append)
-    purse.hold({"x": 1.0}, 0.0)
+    purse.set_shares({"x": 1.0}, 0.0)
     screen.gaps = gaps
-    assert screen.refuses("+94", "", 0.0) == 3.0 and admitted == []
+    assert screen.retry_after("+94", "", 0.0) == 3.0 and admitted == []
     gaps.wait = None
-    assert screen.refuses("+94", "", 0.0) is None and admitted == ["x"]
-    assert screen.refuses("+94", "", 0.0) is not None
+    assert screen.retry_after("+94", "", 0.0) is None and admitted == ["x"]
+    assert screen.retry_after("+94", "", 0.0) is not None
     screen.blocked = ("10.0.0.0/8",)
-    assert screen.refuses("+1", "", 0.0, "10.0.0.1") is not None
-    assert screen.refuses("+1", "", 0.0, "11.0.0.1") is None and screen.turned_away == 1
+    assert screen.retry_after("+1", "", 0.0, "10.0.0.1") is not None
+    assert screen.retry_after("+1", "", 0.0, "11.0.0.1") is None and screen.turned_away == 1
 
 
 # Verdicts
@@ -461,7 +461,7 @@
         self.settings = SimpleNamespace(replica="a")
         members = [SimpleNamespace(id=name) for name in NAMES]
         raft = SimpleNamespace(membership=SimpleNamespace(members=members))
-        self.node = SimpleNamespace(machine=StateMachine(), raft=raft, demand={})
+        self.node = SimpleNamespace(state_machine=StateMachine(), raft=raft, demand={})
         self.index = self.asked = 0
 
     def leases(self) -> tuple[frozenset[str], Any]:
@@ -474,17 +474,17 @@
     async def change(self, envelope: Envelope, most: float) -> Any:
         await anyio.sleep(0.001)
         self.index += 1
-        return self.node.machine.apply(self.index, encode(envelope))
+        return self.node.state_machine.apply(self.index, encode(envelope))
 
-    async def changed(self, most: float) -> None:
+    async def wait_for_change(self, most: float) -> None:
         await anyio.sleep(0.001)
 
     def may_act(self) -> bool:
         return True
 
-    def suggest(self, envelope: Envelope) -> None:
+    def change_nowait(self, envelope: Envelope) -> None:
         self.index += 1
-        self.node.machine.apply(self.index, encode(envelope))
+        self.node.state_machine.apply(self.index, encode(envelope))
 
 
 def test_a_verdict_ends_in_time_though_there_is_always_a_share_to_move() -> None:
@@ -498,10 +498,10 @@
         with anyio.move_on_after(5.0):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(steward.run)
-                while replica.node.machine.verdicts.all:
+                while replica.node.state_machine.verdicts.all:
                     await anyio.sleep(0.02)
                 tasks.cancel_scope.cancel()
 
     anyio.run(work)
-    assert not replica.node.machine.verdicts.all, "it was never lifted"
-    assert replica.node.machine.shares.get("x").version > 5, "no share moved: the test shows nothing"
+    assert not replica.node.state_machine.verdicts.all, "it was never lifted"
+    assert replica.node.state_machine.shares.get("x").version > 5, "no share moved: the test shows nothing"
--- a/tests/test_gap_screen.py
+++ b/tests/test_gap_screen.py
@@ -52,8 +52,8 @@
         screen.apply(rows({"id": "g", "number": "7f3a9c21e0b4d655", "interval_s": 1}), 0.0)
     platform = read_rows([{"id": "g", "number": "7f3a9c21e0b4d655", "interval_s": 1}], "gaps", "platform")
     screen.apply(platform, 0.0)
-    assert screen.refuses("7f3a9c21e0b4d655", "a", 0.1) is None
-    assert back(screen.refuses("7f3a9c21e0b4d655", "a", 0.2), 0.8, 1.0)
+    assert screen.retry_after("7f3a9c21e0b4d655", "a", 0.1) is None
+    assert back(screen.retry_after("7f3a9c21e0b4d655", "a", 0.2), 0.8, 1.0)
 
 
 def test_a_reload_changes_only_what_changed() -> None:
@@ -63,15 +63,15 @@
         {"id": "d", "prefix": "+9411", "interval_s": 0},
     )
     assert screen.apply(first, 100.0) == {"set": ["radio", "d"], "changed": [], "lifted": []}
-    assert screen.refuses(CLAIM, "", 100.5) is None
+    assert screen.retry_after(CLAIM, "", 100.5) is None
     # The same rows again, later: the turn of this slot stays used, the end stays 10 s after the first set.
     assert screen.apply(first, 100.6) == {"set": [], "changed": [], "lifted": []}
-    assert back(screen.refuses(CLAIM, "", 100.7), 0.3, 1.0)
-    assert screen.refuses(CLAIM, "", 109.95) is None and screen.refuses(CLAIM, "", 110.0) is None
+    assert back(screen.retry_after(CLAIM, "", 100.7), 0.3, 1.0)
+    assert screen.retry_after(CLAIM, "", 109.95) is None and screen.retry_after(CLAIM, "", 110.0) is None
     changed = rows({"id": "radio", "number": CLAIM, "interval_s": 2, "for_s": 60})
     assert screen.apply(changed, 111.0) == {"set": [], "changed": ["radio"], "lifted": ["d"]}
-    assert screen.refuses(CLAIM, "", 111.5) is None, "slots of 2 s from the first set: 110 to 112"
-    assert back(screen.refuses(CLAIM, "", 111.6), 0.4, 2.0)
+    assert screen.retry_after(CLAIM, "", 111.5) is None, "slots of 2 s from the first set: 110 to 112"
+    assert back(screen.retry_after(CLAIM, "", 111.6), 0.4, 2.0)
 
 
 def test_a_changed_row_keeps_its_start_and_a_bad_one_changes_nothing() -> None:
@@ -79,15 +79,15 @@
     screen.apply(rows({"id": "radio", "number": CLAIM, "interval_s": 1}), 100.0)
     told = screen.apply(rows({"id": "radio", "number": CLAIM, "interval_s": 2}), 100.5)
     assert told == {"set": [], "changed": ["radio"], "lifted": []}
-    assert screen.refuses(CLAIM, "", 101.0) is None  # slots of 2 s from 100.0: 100 to 102
-    assert back(screen.refuses(CLAIM, "", 101.5), 0.5, 2.0)
+    assert screen.retry_after(CLAIM, "", 101.0) is None  # slots of 2 s from 100.0: 100 to 102
+    assert back(screen.retry_after(CLAIM, "", 101.5), 0.5, 2.0)
     bad = rows(
         {"id": "radio", "number": CLAIM, "interval_s": 1},
         {"id": "old", "prefix": "+9", "interval_s": 1, "until": 50},
     )
     with pytest.raises(GapError, match="gap 'old': end is past"):
         screen.apply(bad, 101.6)
-    assert back(screen.refuses(CLAIM, "", 101.7), 0.3, 2.0), "nothing changed"
+    assert back(screen.retry_after(CLAIM, "", 101.7), 0.3, 2.0), "nothing changed"
     assert len(screen) == 1
 
 
@@ -99,23 +99,23 @@
 def test_a_gap_that_is_over_is_lifted_and_counted_till_then() -> None:
     screen = GapScreen()
     screen.apply(rows({"id": "g", "number": CLAIM, "interval_s": "none", "for_s": 2}), 0.0)
-    assert screen.refuses(CLAIM, "", 1.0) == pytest.approx(1.0), "until its end, not spread"
+    assert screen.retry_after(CLAIM, "", 1.0) == pytest.approx(1.0), "until its end, not spread"
     assert screen.counts() == {"g": (1, 0, 1)}
-    assert screen.refuses(CLAIM, "", 2.5) is None and len(screen) == 0
+    assert screen.retry_after(CLAIM, "", 2.5) is None and len(screen) == 0
 
 
 def test_refused_callers_are_told_times_spread_over_the_next_interval() -> None:
     screen = GapScreen(seed=7)
     screen.apply(rows({"id": "g", "number": CLAIM, "interval_s": 1.0}), 0.0)
-    assert screen.refuses(CLAIM, "", 0.0) is None
-    told = [screen.refuses(CLAIM, "", 0.5) for _ in range(200)]
+    assert screen.retry_after(CLAIM, "", 0.0) is None
+    told = [screen.retry_after(CLAIM, "", 0.5) for _ in range(200)]
     assert all(back(t, 0.5, 1.0) for t in told)
     spread = sorted(t for t in told if t is not None)
     assert spread[-1] - spread[0] > 0.8 and len(set(spread)) == 200  # not all at the slot's start
     again = GapScreen(seed=7)
     again.apply(rows({"id": "g", "number": CLAIM, "interval_s": 1.0}), 0.0)
-    again.refuses(CLAIM, "", 0.0)
-    assert [again.refuses(CLAIM, "", 0.5) for _ in range(200)] == told, "the seed decides"
+    again.retry_after(CLAIM, "", 0.0)
+    assert [again.retry_after(CLAIM, "", 0.5) for _ in range(200)] == told, "the seed decides"
 
 
 def test_the_command_lists_a_file_s_gaps_and_explains_which_a_call_meets(tmp_path: Path) -> None:
@@ -175,6 +175,6 @@
     assert not row.over(104.9) and row.over(105.0)
     screen = GapScreen()
     screen.apply([row], 100.0)
-    assert screen.refuses(CLAIM, "", 104.0) is not None and screen.refuses(CLAIM, "", 106.0) is None
+    assert screen.retry_after(CLAIM, "", 104.0) is not None and screen.retry_after(CLAIM, "", 106.0) is None
     with pytest.raises(GapError, match=r"gaps\[0\]\.since says nothing without for_s"):
         rows({"id": "g", "number": CLAIM, "interval_s": 1, "since": 95.0})
--- a/tests/test_gap_shares.py
+++ b/tests/test_gap_shares.py
@@ -87,7 +87,7 @@
     copy.restore(one.snapshot())
     after = [m.apply(2, encode(Envelope("", 0, RequestSlots("b", "radio", 0, 5.0)))) for m in (one, copy)]
     assert after[0] == after[1] == SlotsGranted("radio", 10 + MAX_BLOCK, MAX_BLOCK // 2, 2)
-    assert copy.turns.blocks("radio", "a") == [SlotBlock("radio", "a", 10, MAX_BLOCK)]
+    assert copy.slots.blocks("radio", "a") == [SlotBlock("radio", "a", 10, MAX_BLOCK)]
 
 
 def test_two_screens_on_one_allotment_pass_one_call_a_slot_between_them() -> None:
@@ -116,7 +116,7 @@
             held = allotment.blocks("radio", name)
             if max((b.end for b in held), default=slot) - slot < 2:
                 allotment.apply(SlotRequest(name, "radio", slot + 1, 100.0))
-            if screens[name].refuses("+94112345678", "", now) is None:
+            if screens[name].retry_after("+94112345678", "", now) is None:
                 passes[slot] = passes.get(slot, 0) + 1
         now += 0.01
     assert max(passes.values()) == 1
@@ -134,7 +134,7 @@
         busy = "a" if now < 1020.0 else "b"
         offered[busy] += 2
         for name in "ab":
-            for ask in turns[name].asks(now, [("radio", 0.5, offered[name]), ("never", inf, 9)]):
+            for ask in turns[name].due_requests(now, [("radio", 0.5, offered[name]), ("never", inf, 9)]):
                 assert ask.gap == "radio@0.5" and ask.most == 4
                 allotment.apply(ask)
                 asks += 1
@@ -146,7 +146,7 @@
     assert set(used.values()) == {"a", "b"} and len(used) > 0.85 * 80
     assert asks < 80, "more than one message a slot"
     after = SlotRequester("a", allotment.blocks, 1010.0)
-    list(after.asks(1010.0, [("radio", 0.5, 1)]))
+    list(after.due_requests(1010.0, [("radio", 0.5, 1)]))
     assert not after.owns("radio", 2020)
 
 
@@ -154,10 +154,10 @@
     allotment = SlotAllocator()
     turns = SlotRequester("a", allotment.blocks, 900.0)
     for now in (1000.0, 1000.1):
-        for ask in turns.asks(now, [("radio", 0.5, 5)]):
+        for ask in turns.due_requests(now, [("radio", 0.5, 5)]):
             allotment.apply(ask)
     assert turns.owns("radio", 2001)
     for now in (1000.2, 1000.3):
-        for ask in turns.asks(now, [("radio", 1.0, 9)]):
+        for ask in turns.due_requests(now, [("radio", 1.0, 9)]):
             allotment.apply(ask)
     assert turns.owns("radio", 1001) and not turns.owns("radio", 2001)
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -43,7 +43,7 @@
 
     def over(self, *, cut: bool) -> None: ...
 
-    def clashes(self) -> None: ...
+    def duplicate_id(self) -> None: ...
 
 
 def ready(name: str, state: str = "ready") -> ControllerEvent:
@@ -58,39 +58,39 @@
 def test_the_core_keeps_nothing_of_servers_that_are_gone() -> None:
     core, port = engine()
     for n in range(50):
-        core.turn([ready(f"s{n}")])
-        core.turn([ready(f"s{n}", "gone")])
+        core.process([ready(f"s{n}")])
+        core.process([ready(f"s{n}", "gone")])
     assert not core._listed and not core._ready
-    core.turn([ready("s50"), Offer("c1", "low", 0, None, 103.0, Silent(), b"")])
+    core.process([ready("s50"), Offer("c1", "low", 0, None, 103.0, Silent(), b"")])
     attempt = port.placed[0]
-    assert attempt.may_leave(100.0)
-    core.turn([ready("s50", "gone")])
-    assert not attempt.may_leave(100.0)  # the last look holds for one that is forgotten, too
+    assert attempt.may_send(100.0)
+    core.process([ready("s50", "gone")])
+    assert not attempt.may_send(100.0)  # the last look holds for one that is forgotten, too
 
 
 def test_a_call_given_up_in_the_batch_of_its_next_attempt_leaves_nothing_open() -> None:
     """The module had decided on a send that the ledger no longer knew: it stayed open in its books."""
     core, port = engine()
     caller = Silent()
-    core.turn([ready("s0"), ready("s1"), Offer("c1", "low", 0, None, 103.0, caller, b"")])
+    core.process([ready("s0"), ready("s1"), Offer("c1", "low", 0, None, 103.0, caller, b"")])
     first = port.placed[0]
-    core.turn([AttemptOver(first, i.Outcome.FULL, 3), CallerGone("c1", caller)])
+    core.process([AttemptOver(first, i.Outcome.FULL, 3), CallerGone("c1", caller)])
     assert core.idle
-    assert not any(server.out for server in core._controller.servers.values())
+    assert not any(server.open_attempts for server in core._controller.servers.values())
 
 
 def test_room_told_in_the_batch_of_a_call_gives_that_call_s_place_to_no_other() -> None:
     """Told after the call it named a place as free that the module had just taken: one too many was out."""
     core, port = engine()
     calls = iter([Offer(f"c{n}", "low", 0, None, 103.0, Silent(), b"") for n in range(4)])
-    core.turn([ready("s0"), ConcurrencyLimit("s0", 1.0)])
-    core.turn([next(calls), ConcurrencyLimit("s0", 1.0)])
+    core.process([ready("s0"), ConcurrencyLimit("s0", 1.0)])
+    core.process([next(calls), ConcurrencyLimit("s0", 1.0)])
     assert core.under_way("s0") == 1
-    core.turn([next(calls)])
+    core.process([next(calls)])
     assert core.under_way("s0") == 1 and len(port.placed) == 1
     # The place that an end gives back in that batch is given back once.
-    core.turn([AttemptOver(port.placed[0], i.Outcome.FULL, 3), ConcurrencyLimit("s0", 1.0)])
-    core.turn([next(calls), next(calls)])
+    core.process([AttemptOver(port.placed[0], i.Outcome.FULL, 3), ConcurrencyLimit("s0", 1.0)])
+    core.process([next(calls), next(calls)])
     assert core.under_way("s0") <= 1
 
 
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -75,7 +75,7 @@
     order = log.orders.get(three)
     assert order and "max_out is 2" in why(order, log.orders, MaintenanceSettings(max_out=2), seen)
     log.apply(FinishOrder(one))
-    assert log.orders.barred(SERVER) == {"s0"}
+    assert log.orders.excluded(SERVER) == {"s0"}
     log.settle(MaintenanceSettings(max_out=2), seen)
     assert [log.state(n) for n in (one, two, three)] == ["back", "out", "out"]
 
@@ -181,7 +181,7 @@
     number = log.ask("s0")
     behind = sight(waits=lambda index: ["c"])
     log.settle(plan, behind)
-    assert log.state(number) == "leaving" and log.orders.barred(SERVER) == {"s0"}
+    assert log.state(number) == "leaving" and log.orders.excluded(SERVER) == {"s0"}
     order = log.orders.get(number)
     assert order
     assert why(order, log.orders, plan, behind) == "not confirmed by c"
@@ -282,7 +282,7 @@
     copy = StateMachine()
     copy.restore(machine.snapshot())
     assert copy.orders.dump() == machine.orders.dump()
-    assert copy.orders.barred(SERVER) == {"s0"}
+    assert copy.orders.excluded(SERVER) == {"s0"}
 
 
 def replace_move(step: AdvanceOrder, **changes: Any) -> AdvanceOrder:
@@ -318,11 +318,11 @@
 def test_membership_follows_the_leases() -> None:
     log = Log()
     log.settle(MaintenanceSettings(), sight(live=frozenset({"a", "b"})))
-    assert log.orders.seats == {"a": "serving", "b": "serving", "c": "joining"}
+    assert log.orders.controller_states == {"a": "serving", "b": "serving", "c": "joining"}
     log.settle(MaintenanceSettings(), sight(live=frozenset({"a", "c"})))
-    assert log.orders.seats == {"a": "serving", "b": "gone", "c": "serving"}
+    assert log.orders.controller_states == {"a": "serving", "b": "gone", "c": "serving"}
     log.settle(MaintenanceSettings(), sight(controllers=("a", "c"), live=frozenset({"a", "c"})))
-    assert log.orders.seats == {"a": "serving", "c": "serving"}
+    assert log.orders.controller_states == {"a": "serving", "c": "serving"}
     assert not list(seats(log.orders, sight(controllers=("a", "c"), live=frozenset({"a", "c"}))))
 
 
@@ -384,7 +384,7 @@
             order = self.log.orders.get(found.order)
             assert order and hold(order, self.log.orders, self.plan, self.seen()) is None
             if order.kind == SERVER and order.machine not in self.failed:
-                serving = SERVERS - self.log.orders.barred(SERVER) - self.failed - self.pressed
+                serving = SERVERS - self.log.orders.excluded(SERVER) - self.failed - self.pressed
                 serving -= {order.machine}
                 assert sum(self.plan.capacity.get(s, 1.0) for s in serving) >= self.plan.floor
                 assert serving & {"s0", "s1"} or order.machine not in {"s0", "s1"}
@@ -392,8 +392,8 @@
 
     @invariant()
     def budget(self) -> None:
-        assert len(self.log.orders.barred(SERVER)) <= self.plan.max_out
-        assert len(self.log.orders.barred(CONTROLLER)) <= self.plan.max_out_controllers
+        assert len(self.log.orders.excluded(SERVER)) <= self.plan.max_out
+        assert len(self.log.orders.excluded(CONTROLLER)) <= self.plan.max_out_controllers
 
     @invariant()
     def a_copy_is_the_same(self) -> None:
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -51,7 +51,7 @@
     world = two()
     world.history()
     jam(world, "s0", 1.0)
-    assert world.c.servers["s0"].u == 0
+    assert world.c.servers["s0"].throttle == 0
     assert world.sent_to(world.call(0)) == "s1"
 
 
@@ -67,9 +67,9 @@
 def test_reopens_as_old_news_decays() -> None:
     world = two()
     jam(world, "s0", 1.0)
-    assert world.c.servers["s0"].u == 0
+    assert world.c.servers["s0"].throttle == 0
     world.after(2.0)
-    assert world.c.servers["s0"].u == 1
+    assert world.c.servers["s0"].throttle == 1
 
 
 def test_sticky_until_full_then_redrawn() -> None:
@@ -96,7 +96,7 @@
     world = two()
     world.call(0)
     world.after(0.9)
-    assert world.c.servers["s0"].u == 0
+    assert world.c.servers["s0"].throttle == 0
     assert world.sent_to(world.call(0)) == "s1"
 
 
@@ -107,7 +107,7 @@
         name = world.call(0)
         world.after(0.1)
         world.stand(name)
-    assert world.c.servers["s0"].u == 1
+    assert world.c.servers["s0"].throttle == 1
 
 
 def test_rate_tightens_while_shut_and_loosens_when_calm() -> None:
@@ -118,10 +118,10 @@
         world.stand(name)
     server = world.c.servers["s0"]
     jam(world, "s0", 1.0, 2.0)
-    tight = server.r
-    assert server.rmax * decide.RMIN_SHARE <= tight < server.rmax / 2
+    tight = server.gate_rate
+    assert server.max_gate_rate * decide.RMIN_SHARE <= tight < server.max_gate_rate / 2
     world.after(4.0)
-    assert tight < server.r <= server.rmax
+    assert tight < server.gate_rate <= server.max_gate_rate
 
 
 def test_a_reopened_server_takes_fresh_calls_through_the_gate() -> None:
@@ -132,12 +132,12 @@
         world.stand(name)
     jam(world, "s0", 1.0, 2.0)
     server = world.c.servers["s0"]
-    while server.u == 0:
+    while server.throttle == 0:
         world.after(0.05)
         world.feed(i.Probed("s1", i.Outcome.OK, 0.0, {"avg_ms": 0.0}))
     assert server.eased
     sent = [world.sent_to(world.call(0)) for _ in range(10)]
-    assert sent.count("s0") <= max(1.0, server.rmax) / 2
+    assert sent.count("s0") <= max(1.0, server.max_gate_rate) / 2
     assert sent.count("s1") >= 1
 
 
@@ -150,7 +150,7 @@
     for _ in range(10):
         world.feed(*(i.Probed(s, i.Outcome.OK, 0.0, {"avg_ms": 900.0}) for s in ("s0", "s1")))
         world.after(0.05)
-    assert world.c.servers["s0"].u == 0 == world.c.servers["s1"].u
+    assert world.c.servers["s0"].throttle == 0 == world.c.servers["s1"].throttle
     assert isinstance(world.answers.get(world.call(0, "low")), i.Refuse)
     assert world.sent_to(world.call(0, "high")) is not None
 
@@ -162,11 +162,11 @@
     world.end(name, i.Outcome.ERROR)
     assert world.sent_to(name) == "s1"
     world.after(0.5)
-    assert server.u == 1
+    assert server.throttle == 1
     for _ in range(5):
         world.end(world.call(0), i.Outcome.UNREACHED)
     world.after(0.3)
-    assert server.u == 0
+    assert server.throttle == 0
 
 
 def test_busy_lines_of_the_number_end_the_call() -> None:
@@ -190,7 +190,7 @@
     world = two()
     jam(world, "s0", 1.0)
     world.servers(*entries(0, started=world.now), kind=i.ListKind.CHANGES)
-    assert world.c.servers["s0"].u == 1
+    assert world.c.servers["s0"].throttle == 1
 
 
 def test_phases_differ_between_seeds_and_repeat_for_one() -> None:
@@ -217,7 +217,7 @@
     for _ in range(30):
         world.call(0)
     spilled = sum(server == "s1" for _, _, server in world.sends[before:])
-    assert 1 <= spilled <= world.c.servers["s1"].rmax + 2
+    assert 1 <= spilled <= world.c.servers["s1"].max_gate_rate + 2
 
 
 def test_a_lost_set_up_does_not_keep_a_speaking_server_shut() -> None:
@@ -227,14 +227,14 @@
     for _ in range(30):
         world.after(0.1)
         world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"avg_ms": 0.0}))
-    assert world.c.servers["s0"].u == 1
+    assert world.c.servers["s0"].throttle == 1
 
 
 def test_a_wholly_silent_server_stays_shut() -> None:
     world = two()
     world.call(0, give=9.0)
     world.after(3.0)
-    assert world.c.servers["s0"].u == 0
+    assert world.c.servers["s0"].throttle == 0
 
 
 def test_a_set_up_overtaken_by_a_later_answer_is_cancelled_and_tried_elsewhere() -> None:
@@ -311,7 +311,7 @@
     for name in old:
         world.after(0.2)
         world.feed(i.AttemptEnded(name, 0, "s0", i.Outcome.OK, 1.0, True))
-    assert world.c.servers["s0"].u == 1
+    assert world.c.servers["s0"].throttle == 1
 
 
 def test_a_server_that_answers_errors_is_neither_shut_nor_first() -> None:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -77,7 +77,7 @@
 def test_nobody_is_dropped_early_at_work_leading_or_where_it_leaves_no_majority_alive() -> None:
     assert not steps(AbsenceList(), sight(gone={"e": 4.9}))
     assert not steps(AbsenceList(), sight(gone={"e": 9.0}), MembershipSettings())
-    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, resting=frozenset("e")))
+    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, in_maintenance=frozenset("e")))
     assert not steps(AbsenceList(), sight(gone={"e": 9.0}, settled=False))
     assert "no majority" in removal_blocker("e", PLAN, sight(gone={"c": 9.0, "d": 9.0, "e": 9.0}))
     assert removal_blocker("a", PLAN, sight()) == "it leads"
@@ -88,12 +88,12 @@
     steps(roster, sight(gone={"e": 6.0}))
     rest = sight("abcd")
     assert not steps(roster, rest), "it has not come back"
-    assert steps(roster, replace(rest, knocking=frozenset("ex"))) == ["e returning", "add e at-e"]
+    assert steps(roster, replace(rest, rejoining=frozenset("ex"))) == ["e returning", "add e at-e"]
     learner = replace(rest, members={**rest.members, "e": Member("at-e", False)})
     assert not steps(roster, learner), "it learns"
     away = replace(learner, gone={"e": 5.0})
     assert steps(roster, away) == ["e leaving", "remove e", "e dropped"], "it went away again"
-    assert steps(roster, replace(rest, knocking=frozenset("e"))) == ["e returning", "add e at-e"]
+    assert steps(roster, replace(rest, rejoining=frozenset("e"))) == ["e returning", "add e at-e"]
     assert steps(roster, sight()) == ["e present"] and not roster.absent
 
 
@@ -131,7 +131,7 @@
     assert isinstance(apply(SetMemberState("e", DROPPED, 1)), StepApplied)
     copy = StateMachine()
     copy.restore(machine.snapshot())
-    assert copy.roster.dump() == machine.roster.dump() and copy.roster.absent[0].address == "at-e"
+    assert copy.absences.dump() == machine.absences.dump() and copy.absences.absent[0].address == "at-e"
     roster = AbsenceList()
     for n in range(MOST):
         roster.apply(SetMemberState(f"x{n}", LEAVING, n))
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -184,4 +184,4 @@
         world.cuts.clear()
         world.play(world.now + 3.0)
         for each in world.hosts.values():
-            assert each.node and [r.text for r in each.node.machine.history()] == ["wanted"], step
+            assert each.node and [r.text for r in each.node.state_machine.history()] == ["wanted"], step
--- a/tests/test_store_replica.py
+++ b/tests/test_store_replica.py
@@ -59,7 +59,7 @@
             await tasks.start(made.run)
             await until(made.may_act)
             await change(made, 1)
-            applied = made.node.machine.applied
+            applied = made.node.state_machine.applied
             monkeypatch.setattr(made._storage, "write", slow)
             tasks.start_soon(change, made, 2)
             await until(held.is_set)
@@ -111,9 +111,9 @@
         line._may_speak = lambda name: False  # as after it was dropped
         for name, folder in (("c", "another folder"), ("d", "its folder")):
             told = await line._unwelcome(Hello("peer", me.cluster, name, folder))
-            assert "no member" in told and not made.knocks
+            assert "no member" in told and not made.rejoin_attempts
         assert "no member" in await line._unwelcome(Hello("peer", me.cluster, "c", "its folder"))
-        assert made.knocks.keys() == {"c"}
+        assert made.rejoin_attempts.keys() == {"c"}
 
     anyio.run(work)
 
