--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -181,9 +181,9 @@
         leader = self.instances[self.true_leader]
         leader.leads = True
         leader.grants = Grants(LENGTH)
-        leader.grants.lead(leader.clock(self.now))
+        leader.grants.become_leader(leader.clock(self.now))
         if self.broken == "no_wait_after_election":
-            leader.grants._floor = 0.0
+            leader.grants._earlier_leases_end = 0.0
         for _, command in kept:  # what had reached the new leader it commits, the rest is lost
             if self.rng.random() < 0.5:
                 self._commit(command)
@@ -224,12 +224,12 @@
             instance.applied += 1
             self.apply(instance.state, instance.applied, self.log[instance.applied - 1])
         self.applied(instance)
-        instance.lease.applied(instance.applied)
+        instance.lease.record_applied(instance.applied)
         if instance.leads:
-            instance.grants.adopted(name, instance.applied)
+            instance.grants.record_adopted(name, instance.applied)
         if self.true_leader:
             leader = self.instances[self.true_leader]
-            self.send(name, self.true_leader, partial(leader.grants.adopted, name, instance.applied))
+            self.send(name, self.true_leader, partial(leader.grants.record_adopted, name, instance.applied))
 
     # What instances do
 
@@ -264,22 +264,22 @@
         to = name if instance.leads else self.true_leader
         if not to:
             return
-        number = instance.lease.ask(instance.clock(self.now))
+        number = instance.lease.request(instance.clock(self.now))
         self.send(name, to, partial(self._asked, to, name, number, instance.applied))
 
     def _asked(self, leader: str, name: str, number: int, applied: int) -> None:
         lead = self.instances[leader]
         if not lead.leads:
             return
-        lead.grants.adopted(name, applied)
-        lead.grants.book(name, lead.clock(self.now))
+        lead.grants.record_adopted(name, applied)
+        lead.grants.record_lease(name, lead.clock(self.now))
         wait = self.rng.uniform(0.002, self.late)  # the round that confirms that it still leads
         index = lead.applied if leader != self.true_leader else len(self.log)  # committed as it begins
         self.at(self.now + wait, partial(self._confirmed, leader, name, number, index))
 
     def _confirmed(self, leader: str, name: str, number: int, index: int) -> None:
         if leader == self.true_leader and self._quorum(leader):
-            self.send(leader, name, partial(self.instances[name].lease.granted, number, index))
+            self.send(leader, name, partial(self.instances[name].lease.record_grant, number, index))
 
     # Troubles
 
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -232,8 +232,8 @@
         node.written(writes, self.clock(host))
 
     def persist(self, storage: Storage, writes: Writes) -> None:
-        if writes.hard or writes.entries or writes.snapshot:
-            storage.write(writes.hard, writes.entries, writes.snapshot)
+        if writes.hard_state or writes.entries or writes.snapshot:
+            storage.write(writes.hard_state, writes.entries, writes.snapshot)
 
     # The network
 
--- a/harepick/store/leases.py
+++ b/harepick/store/leases.py
@@ -1,108 +1,126 @@
-"""Fencing: who may act on the configuration it holds, and when a change may be acknowledged. Pure.
+"""Leases: which instances may act on the configuration they hold, and when a change may be acknowledged.
 
-Times are seconds on the caller's own clock, of which only the rate counts. `Lease` is an instance's side,
-`Grants` the leader's. The argument that the two together hold is in `docs/design/store.md`.
+Pure: times are seconds on the caller's own clock, of which only the rate matters. `Lease` is an instance's
+side, `Grants` the leader's. `docs/design/store.md` argues why the two together are safe.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-LEASE_S = 1.5  # seconds, from the asking
-CLOCK_RATE_MARGIN = 1.1  # the leader waits so much longer: two clocks differ by less in rate
-ASKS = 8  # questions that may be open at once
+LEASE_S = 1.5  # counted from when the lease was requested
+CLOCK_RATE_MARGIN = 1.1  # the leader waits this many lease lengths: clock rates differ by less than that
+MAX_OPEN_REQUESTS = 8
 
 
 class Lease:
-    """An instance's right to act, from its question's time on, once it has applied what it was told to."""
+    """An instance's right to act.
+
+    It runs from the time of the request, once the instance has applied the index that the grant names.
+    """
 
     def __init__(self, length: float = LEASE_S, first: int = 0) -> None:
-        """`first` numbers the first question, and has to be drawn anew by each process: a grant that an
-        earlier one asked for may still be on its way, and must not pass for an answer to this one's
-        question."""
+        """`length` is in seconds; requests are numbered from `first` on.
+
+        Each process must draw a new `first`: a grant that an earlier process requested may still be in
+        flight, and must not be taken for an answer to one of this process's requests.
+        """
         self.length = length
-        self._asked: dict[int, float] = {}  # number -> when
-        self._number = first
-        self._granted: list[tuple[float, int]] = []  # until, and the index that must be applied
-        self._until = float("-inf")
+        self._requested_at: dict[int, float] = {}  # request number -> time
+        self._last_number = first
+        self._pending_grants: list[tuple[float, int]] = []  # expiry time, and the index to be applied first
+        self._expires_at = float("-inf")
         self._applied = 0
 
-    def ask(self, now: float) -> int:
-        """The number of a new question."""
-        self._number += 1
-        self._asked[self._number] = now
-        while len(self._asked) > ASKS:
-            del self._asked[next(iter(self._asked))]
-        return self._number
-
-    def granted(self, number: int, index: int) -> None:
-        """The leader's grant for that question; an unknown or repeated one changes nothing."""
-        asked = self._asked.pop(number, None)
-        if asked is None:
+    def request(self, now: float) -> int:
+        """Opens a request and returns its number; drops the oldest of more than `MAX_OPEN_REQUESTS`."""
+        self._last_number += 1
+        self._requested_at[self._last_number] = now
+        while len(self._requested_at) > MAX_OPEN_REQUESTS:
+            del self._requested_at[next(iter(self._requested_at))]
+        return self._last_number
+
+    def record_grant(self, number: int, index: int) -> None:
+        """Records the leader's grant for that request; an unknown or repeated number changes nothing."""
+        requested_at = self._requested_at.pop(number, None)
+        if requested_at is None:
             return
-        self._granted.append((asked + self.length, index))
-        self.applied(self._applied)
+        self._pending_grants.append((requested_at + self.length, index))
+        self.record_applied(self._applied)
 
-    def applied(self, index: int) -> None:
+    def record_applied(self, index: int) -> None:
+        """Records that entries up to `index` are applied; grants that needed no more take effect."""
         self._applied = max(self._applied, index)
-        due = [until for until, needed in self._granted if needed <= self._applied]
-        self._granted = [row for row in self._granted if row[1] > self._applied][-ASKS:]
-        self._until = max([self._until, *due])
+        effective = [expiry for expiry, needed in self._pending_grants if needed <= self._applied]
+        self._pending_grants = [row for row in self._pending_grants if row[1] > self._applied][
+            -MAX_OPEN_REQUESTS:
+        ]
+        self._expires_at = max([self._expires_at, *effective])
 
     def drop(self) -> None:
-        """Gives up the right at once, and any on its way."""
-        self._until = float("-inf")
-        self._asked.clear()
-        self._granted.clear()
+        """Gives up the lease at once, with all open requests and pending grants."""
+        self._expires_at = float("-inf")
+        self._requested_at.clear()
+        self._pending_grants.clear()
 
     def holds(self, now: float) -> bool:
-        return now < self._until
+        """Whether the instance may act."""
+        return now < self._expires_at
 
     def remaining(self, now: float) -> float:
-        return max(0.0, self._until - now)
+        """Seconds until the lease expires."""
+        return max(0.0, self._expires_at - now)
 
 
 class Grants:
-    """What a leader has to know before it may acknowledge: who may still act on something older."""
+    """The leader's record of leases: which instances may still act on an older configuration."""
 
     def __init__(self, length: float = LEASE_S) -> None:
-        self._wait = length * CLOCK_RATE_MARGIN
-        self._floor = float("inf")  # not leading: nothing is acknowledged
-        self._until: dict[str, float] = {}
+        """`length` of a lease in seconds."""
+        self._expiry_s = length * CLOCK_RATE_MARGIN
+        self._earlier_leases_end = float("inf")  # infinite while not leading: nothing is acknowledged
+        self._expires_at: dict[str, float] = {}
         self._adopted: dict[str, int] = {}
 
-    def lead(self, now: float) -> None:
-        """A new leader knows nothing of leases granted before it: it waits all of them out."""
-        self._floor = now + self._wait
-        self._until.clear()
+    def become_leader(self, now: float) -> None:
+        """Starts to lead; leases granted by earlier leaders are unknown, so all have to expire first."""
+        self._earlier_leases_end = now + self._expiry_s
+        self._expires_at.clear()
         self._adopted.clear()
 
-    def follow(self) -> None:
-        self._floor = float("inf")
+    def become_follower(self) -> None:
+        """Stops leading."""
+        self._earlier_leases_end = float("inf")
 
-    def book(self, instance: str, now: float) -> None:
-        """Before a quorum is asked: from here on, this instance may come to act."""
-        self._until[instance] = now + self._wait
+    def record_lease(self, instance: str, now: float) -> None:
+        """Records a lease that may be granted; called before the quorum confirms leadership for it."""
+        self._expires_at[instance] = now + self._expiry_s
 
-    def adopted(self, instance: str, index: int) -> None:
+    def record_adopted(self, instance: str, index: int) -> None:
+        """Records that the instance acts on nothing older than `index` any more."""
         self._adopted[instance] = max(index, self._adopted.get(instance, 0))
 
     def holders(self, now: float) -> dict[str, float]:
-        """Instances that may act, and for how long."""
-        return {name: until - now for name, until in self._until.items() if until > now}
+        """The instances that may act, and for how many more seconds."""
+        return {name: expiry - now for name, expiry in self._expires_at.items() if expiry > now}
 
     def waits_for(self, index: int, now: float) -> list[str]:
-        """Those that may still act on something older than `index`; empty once it may be acknowledged."""
-        for name in [n for n, until in self._until.items() if until <= now]:
-            del self._until[name]
-        if now < self._floor:
+        """The instances that may still act on something older than `index`.
+
+        A change at `index` may be acknowledged once the list is empty.
+        """
+        for name in [each for each, expiry in self._expires_at.items() if expiry <= now]:
+            del self._expires_at[name]
+        if now < self._earlier_leases_end:
             return ["leases of an earlier leader"]
-        return [name for name in self._until if self._adopted.get(name, 0) < index]
+        return [name for name in self._expires_at if self._adopted.get(name, 0) < index]
 
-    def next_look(self, now: float, indices: Iterable[int]) -> float:
-        """When time alone may have cleared something; infinite if nothing waits."""
-        if not any(True for _ in indices) or self._floor == float("inf"):
+    def next_check_at(self, now: float, indices: Iterable[int]) -> float:
+        """The next time at which an expiry may let one of `indices` be acknowledged; infinite without any."""
+        if not any(True for _ in indices) or self._earlier_leases_end == float("inf"):
             return float("inf")
         return min(
-            [u for u in self._until.values() if u > now] + [self._floor] * (self._floor > now), default=now
+            [expiry for expiry in self._expires_at.values() if expiry > now]
+            + [self._earlier_leases_end] * (self._earlier_leases_end > now),
+            default=now,
         )
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -26,11 +26,11 @@
     encode,
 )
 
-RENEW = 0.27  # share of a lease after which the next is asked for
-SNAPSHOT_EVERY = 10_000  # entries, or
-SNAPSHOT_BYTES = 32 * 1024 * 1024  # of them, whichever comes first
-MAX_WAITERS = 4_096
-APPLY = 1_024  # entries at one poll
+LEASE_RENEWAL_FRACTION = 0.27  # share of a lease after which the next is asked for
+SNAPSHOT_INTERVAL_ENTRIES = 10_000  # entries, or
+SNAPSHOT_INTERVAL_BYTES = 32 * 1024 * 1024  # of them, whichever comes first
+MAX_PENDING_CHANGES = 4_096
+MAX_APPLIED_PER_POLL = 1_024  # entries at one poll
 
 
 class LeaseRequest(Struct, frozen=True, tag="q", array_like=True):
@@ -75,13 +75,13 @@
 
 
 @dataclass(slots=True)
-class _Change:
+class _PendingChange:
     term: int
     waiter: Waiter
 
 
 @dataclass(slots=True)
-class _Read:
+class _ClientRead:
     """A client's read."""
 
     waiter: Waiter
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True)
-class _Membership:
+class _PendingMembership:
     """An answer with the index alone, once the change of members is committed."""
 
     waiter: Waiter
@@ -123,7 +123,7 @@
         lease: float = LEASE_S,
         adopt: Callable[[Revision], None] = lambda revision: None,
         follow: Callable[[StateMachine], None] = lambda machine: None,
-        snapshot_every: int = SNAPSHOT_EVERY,
+        snapshot_every: int = SNAPSHOT_INTERVAL_ENTRIES,
         raft: type[Raft] = Raft,
     ) -> None:
         """`adopt` is called in the moment a revision takes effect: on return, nothing older is acted on.
@@ -140,18 +140,18 @@
         self.stopped = ""  # why it takes part in nothing any more
         self._adopt, self._follow = adopt, follow
         self._revision = 0  # adopted last
-        self._news = (0, 0, 0)  # versions of the orders, shares and verdicts that are followed
-        self.demand: Mapping[str, float] = {}  # by limit, calls offered a second; told with each question
-        self._demanded = False  # whether the last telling was of any
+        self._followed_versions = (0, 0, 0)  # versions of the orders, shares and verdicts that are followed
+        self.demand: Mapping[str, float] = {}  # by limit, calls offered a second; output with each question
+        self._sent_demand = False  # whether the last telling was of any
         self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> when heard, its demand
         self._snapshot_every = snapshot_every
-        self._snapshotting = False
-        self._changes: dict[int, _Change | _Membership] = {}
+        self._snapshot_in_progress = False
+        self._changes: dict[int, _PendingChange | _PendingMembership] = {}
         self._unacknowledged: list[tuple[int, Waiter, Result]] = []  # index that must be adopted by all
-        self._reads: list[tuple[int, _Read]] = []  # confirmed, and not applied so far here
-        self._leading = 0  # the term in which `grants` was told that we lead
-        self._next_ask = now
-        self._out: list[tuple[str, PeerMessage]] = []
+        self._pending_reads: list[tuple[int, _ClientRead]] = []  # confirmed, and not applied so far here
+        self._leading_term = 0  # the term in which `grants` was output that we lead
+        self._next_lease_request = now
+        self._outbox: list[tuple[str, PeerMessage]] = []
         self._answers: list[tuple[Waiter, Answer]] = []
 
     # What can be asked
@@ -170,20 +170,20 @@
         if self.stopped:
             return
         self.raft.tick()
-        self._lead(now)
-        if now >= self._next_ask:
-            self._ask(now)
+        self._track_leadership(now)
+        if now >= self._next_lease_request:
+            self._request_lease(now)
 
     def receive(self, sender: str, message: PeerMessage, now: float) -> None:
         if self.stopped:
             return
         match message:
             case LeaseRequest(number, applied):
-                self._asked(sender, number, applied, now)
+                self._on_lease_request(sender, number, applied, now)
             case LeaseGrant(number, index):
-                self.lease.granted(number, index)
+                self.lease.record_grant(number, index)
             case Adopted(index):
-                self.grants.adopted(sender, index)
+                self.grants.record_adopted(sender, index)
             case Demand(rows):
                 if self.raft.membership.get(sender):
                     self.demands[sender] = (now, rows)
@@ -193,14 +193,14 @@
                         self.raft.propose(data)
             case _:
                 self.raft.step(sender, message)
-        self._lead(now)
+        self._track_leadership(now)
 
     def change(self, envelope: Envelope, waiter: Waiter) -> None:
         """Answered once it is committed, applied, and adopted by all who may act."""
-        if len(self._changes) + len(self._unacknowledged) >= MAX_WAITERS:
+        if len(self._changes) + len(self._unacknowledged) >= MAX_PENDING_CHANGES:
             raise BusyError("too many changes wait")
         index, term = self.raft.propose(encode(envelope))
-        self._changes[index] = _Change(term, waiter)
+        self._changes[index] = _PendingChange(term, waiter)
 
     def change_nowait(self, envelope: Envelope) -> None:
         """A command that nobody waits for, to whoever leads; lost if nobody does."""
@@ -211,26 +211,26 @@
             except BusyError:
                 return
         elif self.raft.leader:
-            self._out.append((self.raft.leader, Propose(data)))
+            self._outbox.append((self.raft.leader, Propose(data)))
 
     def read(self, waiter: Waiter) -> None:
         """Answered with an index once the state here is no older than the question."""
-        self.raft.read(_Read(waiter))
+        self.raft.read(_ClientRead(waiter))
 
     def add(self, name: str, address: str, waiter: Waiter) -> None:
         index, _ = self.raft.add(name, address)
-        self._changes[index] = _Membership(waiter)
+        self._changes[index] = _PendingMembership(waiter)
 
     def remove(self, name: str, waiter: Waiter) -> None:
         index, _ = self.raft.remove(name)
-        self._changes[index] = _Membership(waiter)
+        self._changes[index] = _PendingMembership(waiter)
 
     def stop(self, why: str) -> None:
         """Steps aside: acts on nothing, votes for nobody, says why."""
         self.stopped = why
         self.lease.drop()
-        self.grants.follow()
-        self._lose_all()
+        self.grants.become_follower()
+        self._fail_pending()
 
     # Outputs
 
@@ -238,15 +238,15 @@
         """After every turn of inputs, and after `written`."""
         if not self.stopped:
             self.raft.flush()
-            self._lead(now)
-            self._restore()
-            self._apply()
+            self._track_leadership(now)
+            self._restore_snapshot()
+            self._apply_committed()
             self._serve_reads()
             self._acknowledge(now)
-        told = NodeOutput(self._out + list(self.raft.outbox), self._answers)
-        self._out, self._answers = [], []
+        output = NodeOutput(self._outbox + list(self.raft.outbox), self._answers)
+        self._outbox, self._answers = [], []
         self.raft.outbox.clear()
-        return told
+        return output
 
     def writes(self) -> Writes:
         return Writes() if self.stopped else self.raft.writes()
@@ -254,75 +254,79 @@
     def written(self, writes: Writes, now: float) -> None:
         if not self.stopped:
             self.raft.written(writes)
-            self._lead(now)
+            self._track_leadership(now)
 
     def snapshot_due(self) -> Snapshot | None:
         """A snapshot to be made durable, if it is time; `compacted` follows."""
         since, applied = self.raft.snapshot.index, self.state_machine.applied
         enough = applied - since >= self._snapshot_every
-        large = self.raft.log.size(since + 1, applied) >= SNAPSHOT_BYTES
+        large = self.raft.log.size(since + 1, applied) >= SNAPSHOT_INTERVAL_BYTES
         return self.take_snapshot() if enough or large else None
 
     def take_snapshot(self) -> Snapshot | None:
-        if self._snapshotting or self.stopped or self.state_machine.applied <= self.raft.snapshot.index:
+        if (
+            self._snapshot_in_progress
+            or self.stopped
+            or self.state_machine.applied <= self.raft.snapshot.index
+        ):
             return None
-        self._snapshotting = True
+        self._snapshot_in_progress = True
         return self.raft.compact(self.state_machine.applied, self.state_machine.snapshot())
 
     def compacted(self, snapshot: Snapshot) -> None:
-        self._snapshotting = False
+        self._snapshot_in_progress = False
         self.raft.compacted(snapshot)
 
-    def next_look(self, now: float) -> float:
+    def next_check_at(self, now: float) -> float:
         """When an acknowledgement may come due by time alone."""
-        return self.grants.next_look(now, (index for index, *_ in self._unacknowledged))
+        return self.grants.next_check_at(now, (index for index, *_ in self._unacknowledged))
 
     # Leases
 
-    def _ask(self, now: float) -> None:
-        self._next_ask = now + self.lease.length * RENEW
+    def _request_lease(self, now: float) -> None:
+        self._next_lease_request = now + self.lease.length * LEASE_RENEWAL_FRACTION
         leader = self.raft.leader
         if leader == self.name and self.raft.role is Role.LEADER:
             self.demands[self.name] = (now, self.demand)
-            self._asked(self.name, self.lease.ask(now), self.state_machine.applied, now)
+            self._on_lease_request(self.name, self.lease.request(now), self.state_machine.applied, now)
         elif leader:
-            self._out.append((leader, LeaseRequest(self.lease.ask(now), self.state_machine.applied)))
-            if self.demand or self._demanded:  # that there is none any more is told as well, once
-                self._out.append((leader, Demand(dict(self.demand))))
-            self._demanded = bool(self.demand)
+            self._outbox.append((leader, LeaseRequest(self.lease.request(now), self.state_machine.applied)))
+            if self.demand or self._sent_demand:  # that there is none any more is output as well, once
+                self._outbox.append((leader, Demand(dict(self.demand))))
+            self._sent_demand = bool(self.demand)
         else:
-            self._next_ask = now  # with the first tick that knows a leader
+            self._next_lease_request = now  # with the first tick that knows a leader
 
-    def _asked(self, sender: str, number: int, applied: int, now: float) -> None:
+    def _on_lease_request(self, sender: str, number: int, applied: int, now: float) -> None:
         if self.raft.role is not Role.LEADER or not self.raft.membership.get(sender):
             return
-        self._lead(now)
-        self.grants.adopted(sender, applied)
-        self.grants.book(sender, now)  # before the quorum is asked
+        self._track_leadership(now)
+        self.grants.record_adopted(sender, applied)
+        self.grants.record_lease(sender, now)  # before the quorum is asked
         with suppress(BusyError):  # it asks again
             self.raft.read(_LeaseRead(sender, number))
 
-    def _lead(self, now: float) -> None:
+    def _track_leadership(self, now: float) -> None:
         """Follows the consensus core into leadership and out of it."""
         if self.raft.role is Role.LEADER:
-            if self._leading != self.raft.term:
-                self._lose_all()
-                self._leading = self.raft.term
-                self.grants.lead(now)
-                self._next_ask = now
-        elif self._leading:
-            self._leading = 0
-            self.grants.follow()
-            self._restore()
-            self._apply()  # a leader that was removed steps down with the entry that says so
-            self._lose_all()
-            self._next_ask = now
-        for token in self.raft.dropped:
-            if isinstance(token, _Read):
+            if self._leading_term != self.raft.term:
+                self._fail_pending()
+                self._leading_term = self.raft.term
+                self.grants.become_leader(now)
+                self._next_lease_request = now
+        elif self._leading_term:
+            self._leading_term = 0
+            self.grants.become_follower()
+            self._restore_snapshot()
+            self._apply_committed()  # a leader that was removed steps down with the entry that says so
+            self._fail_pending()
+            self._next_lease_request = now
+        for token in self.raft.dropped_reads:
+            if isinstance(token, _ClientRead):
                 self._answers.append((token.waiter, LeadershipLost()))
-        self.raft.dropped.clear()
+        self.raft.dropped_reads.clear()
 
-    def _lose_all(self) -> None:
+    def _fail_pending(self) -> None:
         for change in self._changes.values():
             self._answers.append((change.waiter, LeadershipLost()))
         for _, waiter, _ in self._unacknowledged:
@@ -332,11 +336,11 @@
 
     # Entries
 
-    def _restore(self) -> None:
-        snapshot = self.raft.restored
+    def _restore_snapshot(self) -> None:
+        snapshot = self.raft.installed_snapshot
         if snapshot is None:
             return
-        self.raft.restored = None
+        self.raft.installed_snapshot = None
         if snapshot.index <= self.state_machine.applied:
             return
         try:
@@ -349,25 +353,25 @@
         self._after_apply()
 
     @property
-    def behind(self) -> bool:
+    def has_unapplied(self) -> bool:
         """Whether more is there to be applied: `poll` takes a part of it at a time, so that a host that has
         much to catch up with goes on hearing and being heard."""
         raft = self.raft
         return not self.stopped and raft.log.base_index <= raft.applied < min(raft.commit, raft.log.stable)
 
-    def _apply(self) -> None:
-        for entry in self.raft.committed(APPLY):
+    def _apply_committed(self) -> None:
+        for entry in self.raft.committed(MAX_APPLIED_PER_POLL):
             self._apply_one(entry)
             if self.stopped:
                 return
-        if not self.stopped and not self.behind:
+        if not self.stopped and not self.has_unapplied:
             self._after_apply()
 
     def _apply_one(self, entry: Entry) -> None:
         change = self._changes.pop(entry.index, None)
         if entry.kind != Kind.COMMAND:
             self.state_machine.skip(entry.index)
-            if isinstance(change, _Membership):
+            if isinstance(change, _PendingMembership):
                 self._answers.append((change.waiter, entry.index))
             return
         try:
@@ -377,7 +381,7 @@
             return
         if change is None:
             return
-        if isinstance(change, _Membership) or change.term != entry.term:
+        if isinstance(change, _PendingMembership) or change.term != entry.term:
             self._answers.append((change.waiter, LeadershipLost()))
         elif isinstance(result, Done):
             # A repeated request's result names its first entry, and that is long adopted: waiting for this
@@ -389,17 +393,17 @@
     def _after_apply(self) -> None:
         """A new revision, new orders, shares or verdicts take effect here, and the leader hears of it."""
         latest, versions = self.state_machine.latest, self.state_machine.versions
-        news = False
-        if versions != self._news:  # first, so that a revision takes effect under them at once
-            self._news, news = versions, True
+        changed = False
+        if versions != self._followed_versions:  # first, so that a revision takes effect under them at once
+            self._followed_versions, changed = versions, True
             self._follow(self.state_machine)
         if latest and latest.number != self._revision:
-            self._revision, news = latest.number, True
+            self._revision, changed = latest.number, True
             self._adopt(latest)
-        if news and self.raft.leader and self.raft.leader != self.name:
-            self._out.append((self.raft.leader, Adopted(self.state_machine.applied)))
-        self.lease.applied(self.state_machine.applied)
-        self.grants.adopted(self.name, self.state_machine.applied)
+        if changed and self.raft.leader and self.raft.leader != self.name:
+            self._outbox.append((self.raft.leader, Adopted(self.state_machine.applied)))
+        self.lease.record_applied(self.state_machine.applied)
+        self.grants.record_adopted(self.name, self.state_machine.applied)
 
     def _acknowledge(self, now: float) -> None:
         kept = []
@@ -411,19 +415,19 @@
         self._unacknowledged = kept
 
     def _serve_reads(self) -> None:
-        for token, index in self.raft.reads:
+        for token, index in self.raft.confirmed_reads:
             if isinstance(token, _LeaseRead):
                 if token.instance == self.name:
-                    self.lease.granted(token.number, index)
+                    self.lease.record_grant(token.number, index)
                 else:
-                    self._out.append((token.instance, LeaseGrant(token.number, index)))
-            elif isinstance(token, _Read):
-                self._reads.append((index, token))
-        self.raft.reads.clear()
+                    self._outbox.append((token.instance, LeaseGrant(token.number, index)))
+            elif isinstance(token, _ClientRead):
+                self._pending_reads.append((index, token))
+        self.raft.confirmed_reads.clear()
         waiting = []
-        for index, read in self._reads:
+        for index, read in self._pending_reads:
             if self.state_machine.applied >= index:
                 self._answers.append((read.waiter, index))
             else:
                 waiting.append((index, read))
-        self._reads = waiting
+        self._pending_reads = waiting
--- a/harepick/store/raft/__init__.py
+++ b/harepick/store/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The consensus core: Raft as a pure state machine. No clock, socket, disk or log; ticks and messages in."""
+"""The Raft consensus core as a pure state machine: ticks and messages in; no clock, socket, disk or log."""
--- a/harepick/store/raft/messages.py
+++ b/harepick/store/raft/messages.py
@@ -1,8 +1,10 @@
-"""What the consensus cores say to each other, and the entries they agree on. Indices start at 1, terms at 1.
+"""Messages between the consensus cores, and the log entries that they replicate.
 
-Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014): chapter 3 for votes and appends, 4 for
-membership, 5 for snapshots, 6.4 for reads, 9.6 for the pre-vote. One definition is the type and the wire
-(`store/wire.py`).
+Indices and terms start at 1.
+
+Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014): chapter 3 for elections and log replication,
+chapter 4 for membership changes, chapter 5 for snapshots, section 6.4 for linearizable reads and section 9.6
+for pre-votes. These types are also the wire format (`store/wire.py`).
 """
 
 from __future__ import annotations
@@ -13,14 +15,16 @@
 
 
 class Kind(IntEnum):
-    """What an entry is to the core."""
+    """The kind of a log entry."""
 
-    NOTHING = 0  # a leader's first, so that it can commit what its forerunners left
-    COMMAND = 1  # the state machine's, opaque here
-    MEMBERSHIP = 2  # a whole `Membership`, encoded
+    NO_OP = 0  # a new leader's first entry, so that it can commit the entries of earlier terms
+    COMMAND = 1  # a command of the state machine, opaque to the consensus core
+    MEMBERSHIP = 2  # a complete `Membership`, encoded
 
 
 class Entry(Struct, frozen=True, array_like=True):
+    """One entry of the replicated log."""
+
     index: int
     term: int
     kind: Kind
@@ -28,7 +32,7 @@
 
 
 class Member(Struct, frozen=True, array_like=True):
-    """One replica. `joining`: a learner that becomes a voter once it has caught up."""
+    """One replica of the cluster; `joining` marks a learner that becomes a voter once it has caught up."""
 
     id: str
     address: str
@@ -37,39 +41,47 @@
 
 
 class Membership(Struct, frozen=True, array_like=True):
+    """The members of the cluster, voters and learners."""
+
     members: tuple[Member, ...] = ()
 
     def get(self, name: str) -> Member | None:
-        return next((m for m in self.members if m.id == name), None)
+        """The member of this name, or None."""
+        return next((member for member in self.members if member.id == name), None)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return tuple(m.id for m in self.members if m.voter)
+        """The names of the voters."""
+        return tuple(member.id for member in self.members if member.voter)
 
     def is_voter(self, name: str) -> bool:
-        return any(m.id == name and m.voter for m in self.members)
+        """Whether the member of this name exists and votes."""
+        return any(member.id == name and member.voter for member in self.members)
 
     @property
     def quorum(self) -> int:
+        """The number of voters in a majority."""
         return len(self.voters) // 2 + 1
 
     def with_member(self, member: Member) -> Membership:
-        kept = [m for m in self.members if m.id != member.id]
-        return Membership(tuple(sorted([*kept, member], key=lambda m: m.id)))
+        """A copy with `member` added or replaced; members are kept sorted by name."""
+        others = [other for other in self.members if other.id != member.id]
+        return Membership(tuple(sorted([*others, member], key=lambda each: each.id)))
 
     def without(self, name: str) -> Membership:
-        return Membership(tuple(m for m in self.members if m.id != name))
+        """A copy without the member of this name."""
+        return Membership(tuple(member for member in self.members if member.id != name))
 
 
 class HardState(Struct, frozen=True, array_like=True):
-    """What must be durable before any reply in its term."""
+    """The term and the vote in it; must be durable before any reply in that term."""
 
     term: int = 0
     vote: str = ""
 
 
 class Snapshot(Struct, frozen=True):
-    """The state machine's state after `index`, as the host encoded it."""
+    """The state after the entry at `index`; `data` is the state machine's, as the host encoded it."""
 
     index: int = 0
     term: int = 0
@@ -77,52 +89,64 @@
     data: bytes = b""
 
 
-# Messages. `term` is the sender's, but a pre-vote's is the one it would campaign in.
+# Messages. `term` is the sender's term; in a pre-vote it is the term that the sender would campaign in.
 
 
 class PreVote(Struct, frozen=True, tag="pv", array_like=True):
+    """Asks whether a vote would be granted, without raising the term."""
+
     term: int
     last_index: int
     last_term: int
 
 
 class PreVoteReply(Struct, frozen=True, tag="pr", array_like=True):
+    """Answers a pre-vote; if granted, `term` is the term of the request."""
+
     term: int
     granted: bool
 
 
-class Vote(Struct, frozen=True, tag="v", array_like=True):
+class RequestVote(Struct, frozen=True, tag="v", array_like=True):
+    """A candidate asks for a vote."""
+
     term: int
     last_index: int
     last_term: int
-    forced: bool = False  # at the old leader's wish: stickiness does not hold it up
+    forced: bool = False  # the leader handed over: granted although a leader is known
+
 
+class RequestVoteReply(Struct, frozen=True, tag="vr", array_like=True):
+    """Answers a vote request."""
 
-class VoteReply(Struct, frozen=True, tag="vr", array_like=True):
     term: int
     granted: bool
 
 
-class Append(Struct, frozen=True, tag="a", array_like=True):
+class AppendEntries(Struct, frozen=True, tag="a", array_like=True):
+    """The leader's entries after `prev_index`; without entries, a heartbeat or a probe."""
+
     term: int
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
     commit: int
-    round: int  # of reads: an answer to this or a later round confirms leadership
+    read_round: int  # a reply with this or a later read round confirms the leader's leadership
 
 
-class AppendReply(Struct, frozen=True, tag="ar", array_like=True):
+class AppendEntriesReply(Struct, frozen=True, tag="ar", array_like=True):
+    """Answers entries: how far the logs match, or where they conflict."""
+
     term: int
     ok: bool
-    index: int  # matched so far; or the `prev_index` that did not fit
-    round: int
-    hint_index: int = 0  # where the follower's conflicting term begins, or one past its end
+    index: int  # the last matching index; if not ok, the `prev_index` that conflicted
+    read_round: int
+    hint_index: int = 0  # where the follower's conflicting term begins, or one past the end of its log
     hint_term: int = 0
 
 
-class Install(Struct, frozen=True, tag="i", array_like=True):
-    """One chunk of a snapshot."""
+class InstallSnapshot(Struct, frozen=True, tag="i", array_like=True):
+    """One chunk of a snapshot; `offset` and `total` are in bytes."""
 
     term: int
     index: int
@@ -131,23 +155,33 @@
     offset: int
     total: int
     data: bytes
-    round: int
+    read_round: int
+
 
+class InstallSnapshotReply(Struct, frozen=True, tag="ir", array_like=True):
+    """Answers a chunk of a snapshot."""
 
-class InstallReply(Struct, frozen=True, tag="ir", array_like=True):
     term: int
     index: int
-    offset: int  # bytes held so far: the next chunk starts there
-    round: int
+    offset: int  # bytes received so far: the next chunk starts there
+    read_round: int
     done: bool = False
 
 
 class TimeoutNow(Struct, frozen=True, tag="tn", array_like=True):
-    """The leader hands over: campaign at once."""
+    """The leader hands leadership over: the receiver campaigns at once."""
 
     term: int
 
 
 Message = (
-    PreVote | PreVoteReply | Vote | VoteReply | Append | AppendReply | Install | InstallReply | TimeoutNow
+    PreVote
+    | PreVoteReply
+    | RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
 )
--- a/harepick/store/raft/progress.py
+++ b/harepick/store/raft/progress.py
@@ -1,68 +1,74 @@
-"""What a leader knows of one other replica, and how much it may have on the way to it."""
+"""A leader's view of one other replica: how far its log matches, and what is in flight to it."""
 
 from __future__ import annotations
 
 from collections import deque
 from enum import Enum
 
-FLIGHT = 16  # appends with entries on the way to one replica, at most
+MAX_IN_FLIGHT_APPENDS = 16  # messages with entries that one replica has not acknowledged
 
 
 class Mode(Enum):
-    PROBE = "probe"  # one append at a time until the logs are known to meet
-    REPLICATE = "replicate"  # appends follow each other without waiting
-    SNAPSHOT = "snapshot"  # one chunk at a time
+    """How the leader sends to the replica."""
+
+    PROBE = "probe"  # one message at a time until the matching index is known
+    REPLICATE = "replicate"  # messages follow each other without waiting for replies
+    SNAPSHOT = "snapshot"  # one chunk of a snapshot at a time
 
 
 class Progress:
-    def __init__(self, following: int) -> None:
-        self.match = 0  # its log is known to equal ours up to here
-        self.next = following  # the next entry to send
+    """Replication progress of one replica; `next_index` is the first entry to send to it."""
+
+    def __init__(self, next_index: int) -> None:
+        self.match = 0  # last index up to which its log is known to match the leader's
+        self.next = next_index  # index of the next entry to send
         self.mode = Mode.PROBE
-        self.flight: deque[int] = deque()  # last index of each append on the way
-        self.waiting = False  # a probe or chunk is on the way
-        self.active = True  # heard since the last check of the quorum
-        self.round = 0  # the last round of reads that it confirmed
-        self.offset = 0  # bytes of the snapshot that it has
-        self.snapshot = 0  # index of the snapshot on its way
+        self.in_flight: deque[int] = deque()  # last index of each unacknowledged message with entries
+        self.awaiting_reply = False  # a probe or a chunk is in flight
+        self.recently_active = True  # has replied since the last quorum check
+        self.read_round = 0  # last read round that it confirmed
+        self.snapshot_offset = 0  # bytes of the snapshot that it has received
+        self.snapshot_index = 0  # index of the snapshot that is being sent
 
     @property
-    def open(self) -> bool:
+    def can_send(self) -> bool:
         """Whether more entries may be sent now."""
         if self.mode is Mode.REPLICATE:
-            return len(self.flight) < FLIGHT
-        return not self.waiting
+            return len(self.in_flight) < MAX_IN_FLIGHT_APPENDS
+        return not self.awaiting_reply
 
-    def sent(self, last: int) -> None:
+    def record_sent(self, last_index: int) -> None:
+        """Records a message whose last entry is `last_index`."""
         if self.mode is Mode.REPLICATE:
-            self.flight.append(last)
-            self.next = last + 1
+            self.in_flight.append(last_index)
+            self.next = last_index + 1
         else:
-            self.waiting = True
+            self.awaiting_reply = True
 
-    def matched(self, index: int) -> bool:
-        """It has all up to `index`. True: that is news."""
-        news = index > self.match
+    def record_match(self, index: int) -> bool:
+        """Records that its log matches up to `index`; True if the matching index advanced."""
+        advanced = index > self.match
         self.match = max(self.match, index)
         self.next = max(self.next, index + 1)
-        while self.flight and self.flight[0] <= self.match:
-            self.flight.popleft()
-        self.waiting = False
-        if self.mode is Mode.PROBE or (self.mode is Mode.SNAPSHOT and self.match >= self.snapshot):
+        while self.in_flight and self.in_flight[0] <= self.match:
+            self.in_flight.popleft()
+        self.awaiting_reply = False
+        if self.mode is Mode.PROBE or (self.mode is Mode.SNAPSHOT and self.match >= self.snapshot_index):
             self.mode = Mode.REPLICATE
             self.next = self.match + 1
-            self.flight.clear()
-        return news
+            self.in_flight.clear()
+        return advanced
 
-    def missed(self, following: int) -> None:
-        """Its log does not meet ours there: try at `following`."""
+    def record_mismatch(self, next_index: int) -> None:
+        """Records a conflict of the logs; probes again from `next_index`."""
         self.mode = Mode.PROBE
-        self.next = max(self.match + 1, following)
-        self.flight.clear()
-        self.waiting = False
+        self.next = max(self.match + 1, next_index)
+        self.in_flight.clear()
+        self.awaiting_reply = False
 
     def start_snapshot(self, index: int) -> None:
-        if self.mode is not Mode.SNAPSHOT or self.snapshot != index:
-            self.mode, self.snapshot, self.offset = Mode.SNAPSHOT, index, 0
-            self.flight.clear()
-            self.waiting = False
+        """Starts to send the snapshot at `index`, unless it is being sent already."""
+        if self.mode is not Mode.SNAPSHOT or self.snapshot_index != index:
+            self.mode, self.snapshot_index, self.snapshot_offset = Mode.SNAPSHOT, index, 0
+            self.in_flight.clear()
+            self.awaiting_reply = False
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -190,11 +190,11 @@
                 next_tick = max(next_tick + TICK, now)
                 self.node.tick(now)
             self._poll()
-            if self._inbox or self.node.behind:
+            if self._inbox or self.node.has_unapplied:
                 await anyio.lowlevel.checkpoint()
                 continue
             self._some = anyio.Event()
-            wait = min(next_tick, self.node.next_look(clock()) + 0.001) - clock()
+            wait = min(next_tick, self.node.next_check_at(clock()) + 0.001) - clock()
             with anyio.move_on_after(max(0.0, wait)):
                 await self._some.wait()
 
@@ -383,8 +383,8 @@
         self.node.stop(why)
 
     def _write(self, writes: Writes) -> None:
-        if writes.hard or writes.entries or writes.snapshot:
-            self._storage.write(writes.hard, writes.entries, writes.snapshot)
+        if writes.hard_state or writes.entries or writes.snapshot:
+            self._storage.write(writes.hard_state, writes.entries, writes.snapshot)
 
     def _written(self, writes: Writes) -> None:
         self._writing = False
--- a/harepick/store/state_machine.py
+++ b/harepick/store/state_machine.py
@@ -28,12 +28,12 @@
 from harepick.fleet.membership import AbsenceList, AbsenceListState, RefusedMemberStateError, SetMemberState
 from harepick.gapping import SlotAllocator, SlotRequest
 
-FORMAT = 1  # of entries and snapshots; first byte of each
+FORMAT_VERSION = 1  # of entries and snapshots; first byte of each
 MAX_SESSIONS = 4_096  # the one that was silent for longest is forgotten
 MAX_REVISIONS = 500
-MAX_HISTORY = 8 * 1024 * 1024  # bytes of all revisions' texts
-MAX_TEXT = 256 * 1024  # bytes of one configuration
-MAX_ROWS = 256  # rows of one instance's view
+MAX_HISTORY_BYTES = 8 * 1024 * 1024  # bytes of all revisions' texts
+MAX_TEXT_CHARS = 256 * 1024  # bytes of one configuration
+MAX_VIEW_ROWS = 256  # rows of one instance's view
 MAX_VIEWS = 64  # instances whose view is kept
 
 
@@ -185,21 +185,21 @@
     roster: AbsenceListState = msgspec.field(default_factory=AbsenceListState)
 
 
-_envelope = msgspec.msgpack.Decoder(Envelope)
-_state = msgspec.msgpack.Decoder(State)
+_envelope_decoder = msgspec.msgpack.Decoder(Envelope)
+_state_decoder = msgspec.msgpack.Decoder(State)
 
 
 def encode(envelope: Envelope) -> bytes:
-    return bytes([FORMAT]) + msgspec.msgpack.encode(envelope)
+    return bytes([FORMAT_VERSION]) + msgspec.msgpack.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
-    if not data or data[0] != FORMAT:
-        raise FormatError(f"entry of format {data[0] if data else None}; this version knows {FORMAT}")
+    if not data or data[0] != FORMAT_VERSION:
+        raise FormatError(f"entry of format {data[0] if data else None}; this version knows {FORMAT_VERSION}")
     try:
-        return _envelope.decode(memoryview(data)[1:])
+        return _envelope_decoder.decode(memoryview(data)[1:])
     except (msgspec.DecodeError, ValueError) as error:
-        raise FormatError(f"entry of format {FORMAT} that can't be read: {error}") from None
+        raise FormatError(f"entry of format {FORMAT_VERSION} that can't be read: {error}") from None
 
 
 class StateMachine:
@@ -208,7 +208,7 @@
     def __init__(self) -> None:
         self.applied = 0  # index of the last entry
         self._revisions: OrderedDict[int, Revision] = OrderedDict()
-        self._history = 0  # bytes of their texts
+        self._history_bytes = 0  # bytes of their texts
         self._sessions: OrderedDict[str, Session] = OrderedDict()
         self.views: dict[str, PoolView] = {}
         self.slots = SlotAllocator()  # of gaps' slots over the fleet
@@ -243,7 +243,7 @@
             if envelope.number == known.number:
                 return known.result
             return Refused(f"request {envelope.number} of this session is older than {known.number}")
-        result = self._carry_out(index, envelope.body)
+        result = self._execute(index, envelope.body)
         if envelope.session:
             self._sessions[envelope.session] = Session(envelope.number, result)
             self._sessions.move_to_end(envelope.session)
@@ -255,7 +255,7 @@
         """An entry that is none of the machine's."""
         self.applied = index
 
-    def _carry_out(self, index: int, command: Command) -> Result:
+    def _execute(self, index: int, command: Command) -> Result:
         match command:
             case Put(text, expect, author, note, at):
                 return self._put(index, text, expect, author, note, at)
@@ -265,8 +265,8 @@
                     return Refused(f"revision {to} is not kept")
                 return self._put(index, old.text, expect, author, note or f"rollback to {to}", at)
             case PoolView():
-                if len(command.rows) > MAX_ROWS:
-                    return Refused(f"a view has {MAX_ROWS} rows at most")
+                if len(command.rows) > MAX_VIEW_ROWS:
+                    return Refused(f"a view has {MAX_VIEW_ROWS} rows at most")
                 self.views.pop(command.instance, None)
                 self.views[command.instance] = command
                 while len(self.views) > MAX_VIEWS:
@@ -276,7 +276,7 @@
                 block = self.slots.apply(SlotRequest(instance, gap, first, demand, most))
                 return SlotsGranted(gap, block.first, block.length, index)
             case Split() | ReleaseOwed():
-                return self._share(index, command)
+                return self._apply_limit_command(index, command)
             case IssueVerdict() | LiftVerdict():
                 number, why = self.verdicts.apply(index, command)
                 if why:
@@ -290,17 +290,17 @@
                     return Refused(str(error))
                 return StepApplied(index)
             case _:
-                return self._order(index, command)
+                return self._apply_order_command(index, command)
 
-    def _stale(self, revision: int) -> Refused | None:
+    def _check_revision(self, revision: int) -> Refused | None:
         """A step that was decided on another configuration than the latest."""
         latest = self.latest.number if self.latest else 0
         if revision == latest:
             return None
         return Refused(f"decided on revision {revision}, and {latest} is the latest")
 
-    def _order(self, index: int, command: OrderCommand) -> Result:
-        if isinstance(command, AdvanceOrder) and (stale := self._stale(command.revision)):
+    def _apply_order_command(self, index: int, command: OrderCommand) -> Result:
+        if isinstance(command, AdvanceOrder) and (stale := self._check_revision(command.revision)):
             return stale
         try:
             order = self.orders.apply(index, command)
@@ -309,8 +309,8 @@
         number, state = (order.id, order.state) if order else (0, "")
         return OrderChanged(number, state, self.orders.version, index)
 
-    def _share(self, index: int, command: LimitCommand) -> Result:
-        if isinstance(command, Split) and (stale := self._stale(command.revision)):
+    def _apply_limit_command(self, index: int, command: LimitCommand) -> Result:
+        if isinstance(command, Split) and (stale := self._check_revision(command.revision)):
             return stale
         try:
             self.shares.apply(index, command)
@@ -327,18 +327,18 @@
         latest = self.latest.number if self.latest else 0
         if expect is not None and expect != latest:
             return Conflict(expect, latest)
-        if len(text) > MAX_TEXT:
-            return Refused(f"a configuration has {MAX_TEXT} characters at most")
-        self._keep(Revision(latest + 1, text, author, note, at, index))
+        if len(text) > MAX_TEXT_CHARS:
+            return Refused(f"a configuration has {MAX_TEXT_CHARS} characters at most")
+        self._add_revision(Revision(latest + 1, text, author, note, at, index))
         return Done(latest + 1, index)
 
-    def _keep(self, revision: Revision) -> None:
+    def _add_revision(self, revision: Revision) -> None:
         self._revisions[revision.number] = revision
-        self._history += len(revision.text)
+        self._history_bytes += len(revision.text)
         while len(self._revisions) > MAX_REVISIONS or (
-            self._history > MAX_HISTORY and len(self._revisions) > 1
+            self._history_bytes > MAX_HISTORY_BYTES and len(self._revisions) > 1
         ):
-            self._history -= len(self._revisions.popitem(last=False)[1].text)
+            self._history_bytes -= len(self._revisions.popitem(last=False)[1].text)
 
     def snapshot(self) -> bytes:
         state = State(
@@ -352,19 +352,21 @@
             self.verdicts.dump(),
             self.absences.dump(),
         )
-        return bytes([FORMAT]) + msgspec.msgpack.encode(state)
+        return bytes([FORMAT_VERSION]) + msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
         """Takes a snapshot's state over; raises `FormatError`, changing nothing."""
-        if not data or data[0] != FORMAT:
-            raise FormatError(f"snapshot of format {data[0] if data else None}; this version knows {FORMAT}")
+        if not data or data[0] != FORMAT_VERSION:
+            raise FormatError(
+                f"snapshot of format {data[0] if data else None}; this version knows {FORMAT_VERSION}"
+            )
         try:
-            state = _state.decode(memoryview(data)[1:])
+            state = _state_decoder.decode(memoryview(data)[1:])
         except (msgspec.DecodeError, ValueError) as error:
-            raise FormatError(f"snapshot of format {FORMAT} that can't be read: {error}") from None
+            raise FormatError(f"snapshot of format {FORMAT_VERSION} that can't be read: {error}") from None
         self.applied = state.applied
         self._revisions = OrderedDict((r.number, r) for r in state.revisions)
-        self._history = sum(len(r.text) for r in state.revisions)
+        self._history_bytes = sum(len(r.text) for r in state.revisions)
         self._sessions = OrderedDict(state.sessions)
         self.views = state.views
         self.slots = SlotAllocator()
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -9,7 +9,7 @@
 from benchmarks.store_model import Host, ViolationError, World, play
 from harepick.store.disk.storage import Storage
 from harepick.store.raft.core import BusyError, NotLeaderError, Raft, Role, Writes
-from harepick.store.raft.messages import Message, PreVote, PreVoteReply, Vote
+from harepick.store.raft.messages import Message, PreVote, PreVoteReply, RequestVote
 from harepick.store.state_machine import Done, Envelope, Put
 
 
@@ -38,12 +38,12 @@
     def persist(self, storage: Storage, writes: Writes) -> None:
         if writes.snapshot or self.rng.random() < 0.7:
             super().persist(storage, writes)
-        elif writes.hard:
-            super().persist(storage, Writes(writes.hard))
+        elif writes.hard_state:
+            super().persist(storage, Writes(writes.hard_state))
 
 
 class _VotesForAnyone(Raft):
-    def _fresh(self, last_index: int, last_term: int) -> bool:
+    def _is_up_to_date(self, last_index: int, last_term: int) -> bool:
         return True
 
 
@@ -53,11 +53,11 @@
 
 class _VotesTwice(Raft):
     def step(self, sender: str, message: Message) -> None:
-        if isinstance(message, Vote) and message.term == self.term:
+        if isinstance(message, RequestVote) and message.term == self.term:
             self.vote = ""
         super().step(sender, message)
 
-    def _sticks(self, forced: bool) -> bool:
+    def _rejects_candidates(self, forced: bool) -> bool:
         return False
 
     def _on_pre_vote(self, sender: str, message: PreVote) -> None:
@@ -77,7 +77,7 @@
     def _start(self, host: Host) -> None:
         super()._start(host)
         if host.node:
-            host.node.grants.lead = lambda now: setattr(host.node.grants, "_floor", now)  # type: ignore
+            host.node.grants.become_leader = lambda now: setattr(host.node.grants, "_earlier_leases_end", now)  # type: ignore
 
 
 class AcknowledgedUnadopted(World):
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -37,7 +37,7 @@
     assert apply(machine, m.RollBack(1)) == m.Done(3, 4)
     assert machine.latest and machine.latest.text == "one" and "rollback to 1" in machine.latest.note
     assert apply(machine, m.RollBack(9)) == m.Refused("revision 9 is not kept")
-    assert isinstance(apply(machine, m.Put("x" * (m.MAX_TEXT + 1))), m.Refused)
+    assert isinstance(apply(machine, m.Put("x" * (m.MAX_TEXT_CHARS + 1))), m.Refused)
     assert machine.latest.number == 3
 
 
@@ -47,18 +47,18 @@
         apply(machine, m.Put(f"{n}"), f"s{n}", 1)
     assert len(machine.history()) == m.MAX_REVISIONS and machine.revision(1) is None
     for _ in range(40):
-        apply(machine, m.Put("x" * m.MAX_TEXT))
-    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY
+        apply(machine, m.Put("x" * m.MAX_TEXT_CHARS))
+    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY_BYTES
     for n in range(m.MAX_VIEWS + 5):
         apply(machine, m.PoolView(f"i{n}", ()))
     assert len(machine.views) == m.MAX_VIEWS and "i0" not in machine.views
-    rows = tuple(m.PoolViewRow(f"s{n}", n, "ready") for n in range(m.MAX_ROWS + 1))
+    rows = tuple(m.PoolViewRow(f"s{n}", n, "ready") for n in range(m.MAX_VIEW_ROWS + 1))
     assert isinstance(apply(machine, m.PoolView("i", rows)), m.Refused)
 
 
 def test_an_entry_of_an_unknown_format_stops_before_it_acts() -> None:
     machine = m.StateMachine()
-    for data in (b"", b"\x02rest", bytes([m.FORMAT]) + b"\xc1"):
+    for data in (b"", b"\x02rest", bytes([m.FORMAT_VERSION]) + b"\xc1"):
         with pytest.raises(m.FormatError):
             machine.apply(1, data)
         assert machine.applied == 0
@@ -173,19 +173,19 @@
 
 def test_a_lease_counts_from_the_question_and_once_applied() -> None:
     lease = Lease(1.0, 7)
-    number = lease.ask(10.0)
+    number = lease.request(10.0)
     assert not lease.holds(10.0)
-    lease.granted(number + 1, 0)  # to a question that was never asked
+    lease.record_grant(number + 1, 0)  # to a question that was never asked
     assert not lease.holds(10.0)
-    lease.granted(number, 5)
+    lease.record_grant(number, 5)
     assert not lease.holds(10.1), "it has not applied what it was told to"
-    lease.applied(5)
+    lease.record_applied(5)
     assert lease.holds(10.99) and not lease.holds(11.0)
-    lease.granted(number, 0)  # again
+    lease.record_grant(number, 0)  # again
     assert not lease.holds(11.0)
-    other = lease.ask(20.0)
+    other = lease.request(20.0)
     lease.drop()
-    lease.granted(other, 0)
+    lease.record_grant(other, 0)
     assert not lease.holds(20.1)
 
 
@@ -196,20 +196,20 @@
     length, grants = 1.0, Grants(1.0)
     rates = [data.draw(st.floats(0.96, 1.04)) for _ in range(3)]
     leases = [Lease(length, n) for n in range(3)]
-    grants.lead(0.0)
+    grants.become_leader(0.0)
     now, adopted = 0.0, [0, 0, 0]
     for _ in range(data.draw(st.integers(1, 25))):
         now += data.draw(st.floats(0.0, 0.5))
         n = data.draw(st.integers(0, 2))
         what = data.draw(st.sampled_from(("ask", "adopt")))
         if what == "ask":
-            number = leases[n].ask(now * rates[n])
+            number = leases[n].request(now * rates[n])
             now += data.draw(st.floats(0.0, 0.3))
-            grants.book(f"{n}", now)
-            leases[n].granted(number, 0)
+            grants.record_lease(f"{n}", now)
+            leases[n].record_grant(number, 0)
         else:
             adopted[n] = 5
-            grants.adopted(f"{n}", 5)
+            grants.record_adopted(f"{n}", 5)
         if not grants.waits_for(5, now):
             assert now >= length * CLOCK_RATE_MARGIN
             for k in range(3):
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -8,21 +8,21 @@
 
 from harepick.store.raft.core import BadChangeError, BusyError, NotLeaderError, Raft, Role, Writes
 from harepick.store.raft.messages import (
-    Append,
-    AppendReply,
+    AppendEntries,
+    AppendEntriesReply,
     Entry,
     HardState,
-    Install,
+    InstallSnapshot,
     Kind,
     Member,
     Membership,
     Message,
     PreVoteReply,
+    RequestVote,
+    RequestVoteReply,
     Snapshot,
-    Vote,
-    VoteReply,
 )
-from harepick.store.raft.progress import FLIGHT
+from harepick.store.raft.progress import MAX_IN_FLIGHT_APPENDS
 
 
 class Cluster:
@@ -65,7 +65,7 @@
                 return raft
             for other in self.rafts.values():
                 if other is not raft and other.name not in self.down:
-                    other._silence = 100  # they have heard no leader for long
+                    other._election_elapsed = 100  # they have heard no leader for long
         raise AssertionError(f"{name} does not come to lead")
 
     def terms(self, name: str) -> list[int]:
@@ -96,7 +96,7 @@
     """Figure 8 of the Raft paper: a leader finds an entry of an old term on a quorum, its own on none."""
     names = ("a", "b", "c", "d", "e")
     membership = Membership(tuple(Member(n, f"127.0.0.1:{k + 1}") for k, n in enumerate(names)))
-    old = [Entry(1, 1, Kind.NOTHING, b""), Entry(2, 2, Kind.COMMAND, b"old")]
+    old = [Entry(1, 1, Kind.NO_OP, b""), Entry(2, 2, Kind.COMMAND, b"old")]
     leader = raft("a", Random(1), HardState(3, ""), Snapshot(0, 0, membership), old)
     while leader.role is Role.FOLLOWER:
         leader.tick()
@@ -104,10 +104,10 @@
         leader.step(name, PreVoteReply(4, True))
     leader.written(leader.writes())
     for name in ("b", "c"):
-        leader.step(name, VoteReply(4, True))
+        leader.step(name, RequestVoteReply(4, True))
     assert leader.role is Role.LEADER and leader.term == 4
     for name in ("b", "c"):
-        leader.step(name, AppendReply(4, True, 2, 0))
+        leader.step(name, AppendEntriesReply(4, True, 2, 0))
     return leader
 
 
@@ -116,7 +116,7 @@
     assert leader.commit == 0
     leader.written(leader.writes())
     for name in ("b", "c"):
-        leader.step(name, AppendReply(4, True, 3, 0))
+        leader.step(name, AppendEntriesReply(4, True, 3, 0))
     assert leader.commit == 3
     assert _figure_8(_CommitsOldTerms).commit == 2, "the case does not show what it is for"
 
@@ -124,16 +124,16 @@
 def test_a_vote_waits_for_the_disk_and_is_given_once_a_term() -> None:
     cluster = Cluster("a", "b", "c")
     voter = cluster["a"]
-    voter.step("b", Vote(5, 0, 0))
+    voter.step("b", RequestVote(5, 0, 0))
     assert not voter.outbox, "a vote left before it was durable"
     writes = voter.writes()
-    assert writes.hard == HardState(5, "b")
+    assert writes.hard_state == HardState(5, "b")
     voter.written(writes)
-    assert voter.outbox == [("b", VoteReply(5, True))]
+    assert voter.outbox == [("b", RequestVoteReply(5, True))]
     voter.outbox.clear()
-    voter.step("c", Vote(5, 9, 4))
+    voter.step("c", RequestVote(5, 9, 4))
     voter.written(voter.writes())
-    assert voter.outbox == [("c", VoteReply(5, False))]
+    assert voter.outbox == [("c", RequestVoteReply(5, False))]
 
 
 def test_a_cut_off_replica_does_not_raise_the_term_when_it_comes_back() -> None:
@@ -154,9 +154,9 @@
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     term = leader.term
-    cluster["b"].step("c", Vote(term + 5, 99, term))
+    cluster["b"].step("c", RequestVote(term + 5, 99, term))
     assert cluster["b"].term == term
-    cluster["b"].step("c", Vote(term + 5, 99, term, forced=True))
+    cluster["b"].step("c", RequestVote(term + 5, 99, term, forced=True))
     assert cluster["b"].term == term + 5
 
 
@@ -168,8 +168,8 @@
         cluster.down = {"a"}
         b, c = cluster["b"], cluster["c"]
         c._rng = Random(seed)
-        c._silence, c._timeout = 20, 20
-        b._silence, b._timeout = 11, 60
+        c._election_elapsed, c._election_timeout = 20, 20
+        b._election_elapsed, b._election_timeout = 11, 60
         ticks = 0
         while Role.LEADER not in (b.role, c.role):
             b.tick()
@@ -188,15 +188,17 @@
     for _ in range(40):
         leader.tick()
     cluster.settle()
-    assert leader.role is Role.FOLLOWER and leader.dropped == ["question"] and not leader.reads
+    assert (
+        leader.role is Role.FOLLOWER and leader.dropped_reads == ["question"] and not leader.confirmed_reads
+    )
     with pytest.raises(NotLeaderError):
         leader.propose(b"x")
 
 
 class _ReadsWithoutQuorum(Raft):
-    def _confirm(self) -> None:
-        self.reads += [(token, index) for _, index, token in self._waiting]
-        self._waiting = []
+    def _confirm_reads(self) -> None:
+        self.confirmed_reads += [(token, index) for _, index, token in self._pending_reads]
+        self._pending_reads = []
 
 
 def test_a_leader_that_is_cut_off_answers_no_read() -> None:
@@ -206,7 +208,7 @@
         cluster.down = {"b", "c"}
         leader.read("question")
         cluster.settle()
-        assert bool(leader.reads) is answers, raft
+        assert bool(leader.confirmed_reads) is answers, raft
 
 
 def test_a_read_needs_a_round_that_began_after_it() -> None:
@@ -217,9 +219,9 @@
     leader.flush()
     for sender, _, message in late:  # answers to earlier rounds say nothing
         leader.step(sender, message)
-    assert not leader.reads
+    assert not leader.confirmed_reads
     cluster.settle()
-    assert leader.reads == [("question", leader.commit)]
+    assert leader.confirmed_reads == [("question", leader.commit)]
 
 
 def test_a_follower_far_behind_is_found_again_with_few_messages() -> None:
@@ -241,7 +243,7 @@
         cluster.settle(10)
     assert cluster["c"].log.last_index == leader.log.last_index
     assert cluster.terms("c") == cluster.terms("a")
-    probes = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, Append) and m.entries]
+    probes = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, AppendEntries) and m.entries]
     assert len(probes) < 40
 
 
@@ -253,8 +255,8 @@
     for n in range(300):
         leader.propose(b"%d" % n)
         cluster.settle(2)
-    on_the_way = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, Append) and m.entries]
-    assert len(on_the_way) <= FLIGHT + 2
+    on_the_way = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, AppendEntries) and m.entries]
+    assert len(on_the_way) <= MAX_IN_FLIGHT_APPENDS + 2
     with pytest.raises(BusyError):
         for _ in range(10_000):
             leader.propose(b"x")
@@ -285,7 +287,7 @@
         for to, message in messages:
             if to != "c":
                 continue
-            if isinstance(message, Install):
+            if isinstance(message, InstallSnapshot):
                 offsets.append(message.offset)
                 if len(offsets) == 3:
                     continue  # lost
@@ -297,12 +299,12 @@
             leader.step("c", reply)
         leader.tick()
         leader.flush()
-        if follower.restored:
+        if follower.installed_snapshot:
             break
-    assert follower.restored is not None and follower.restored.data == data
+    assert follower.installed_snapshot is not None and follower.installed_snapshot.data == data
     assert offsets.count(0) <= 2 and len(set(offsets)) == 8, offsets
     leader.propose(b"goes on")
-    follower.restored = None
+    follower.installed_snapshot = None
     cluster.settle()
     assert follower.commit == leader.commit
 
@@ -318,7 +320,7 @@
     follower.commit = follower.applied = 3
     term = follower.log.term(5)
     assert term is not None
-    follower.step("a", Install(leader.term, 5, term, cluster.membership, 0, 3, b"abc", 0))
+    follower.step("a", InstallSnapshot(leader.term, 5, term, cluster.membership, 0, 3, b"abc", 0))
     assert follower.log.last_index == last and follower.commit == 5
 
 
@@ -406,7 +408,7 @@
     before = (leader.term, leader.commit, leader.log.last_index)
     for message in [m for *_, m in cluster.sent]:
         for sender in ("b", "c", "stranger"):
-            if not isinstance(message, Append | Install):
+            if not isinstance(message, AppendEntries | InstallSnapshot):
                 leader.step(sender, message)
     cluster.settle()
     assert (leader.term, leader.commit) == before[:2] and leader.role is Role.LEADER
@@ -418,7 +420,7 @@
     for _ in range(40):
         raft.tick()
     writes: Writes = raft.writes()
-    assert writes.hard and raft.role is Role.CANDIDATE, "leads before its own vote is durable"
+    assert writes.hard_state and raft.role is Role.CANDIDATE, "leads before its own vote is durable"
     raft.written(writes)
     raft.propose(b"x")
     first = raft.writes()
