--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -1,7 +1,8 @@
-"""One replica without its host: consensus, state machine and fencing put together. Pure, as its parts are.
+"""One replica without its host: the consensus core, the state machine and the leases combined. Pure.
 
-The real host is `replica.py`; the seeded world of `benchmarks/store_model.py` is another. Both do the same:
-feed `tick`, `receive` and requests with their time, call `poll`, carry out `outbox`, `writes` and `answers`.
+Its hosts are `replica.py` in production and the simulation in `benchmarks/store_model.py`. A host calls
+`tick`, `receive` and the requests with its own time in seconds, then `poll`, and carries out the result: it
+sends the messages, delivers the answers, and makes `writes()` durable.
 """
 
 from __future__ import annotations
@@ -26,39 +27,42 @@
     encode,
 )
 
-LEASE_RENEWAL_FRACTION = 0.27  # share of a lease after which the next is asked for
-SNAPSHOT_INTERVAL_ENTRIES = 10_000  # entries, or
-SNAPSHOT_INTERVAL_BYTES = 32 * 1024 * 1024  # of them, whichever comes first
+LEASE_RENEWAL_FRACTION = 0.27  # of a lease's length, after which the next is requested
+# A snapshot is due after so many entries or bytes of entries, whichever comes first.
+SNAPSHOT_INTERVAL_ENTRIES = 10_000
+SNAPSHOT_INTERVAL_BYTES = 32 * 1024 * 1024
 MAX_PENDING_CHANGES = 4_096
-MAX_APPLIED_PER_POLL = 1_024  # entries at one poll
+MAX_APPLIED_PER_POLL = 1_024  # entries
 
 
 class LeaseRequest(Struct, frozen=True, tag="q", array_like=True):
-    """An instance asks the leader for its lease, and tells how far it has applied."""
+    """An instance requests a lease from the leader, and reports the last index it has applied."""
 
     number: int
     applied: int
 
 
 class LeaseGrant(Struct, frozen=True, tag="g", array_like=True):
+    """The leader grants the lease of that request."""
+
     number: int
-    index: int  # to be applied before the lease counts
+    index: int  # must be applied before the lease takes effect
 
 
 class Adopted(Struct, frozen=True, tag="d", array_like=True):
-    """The sender acts on nothing older than this index any more."""
+    """The sender no longer acts on anything older than this index."""
 
     index: int
 
 
 class Demand(Struct, frozen=True, tag="m", array_like=True):
-    """Calls offered a second here, by limit; the leader splits limits by it."""
+    """Calls per second offered at the sender, by limit; the leader splits limits by it."""
 
     rows: dict[str, float]
 
 
 class Propose(Struct, frozen=True, tag="p", array_like=True):
-    """A command for the leader that nobody waits for."""
+    """A command for the leader to propose; no answer is sent."""
 
     data: bytes
 
@@ -67,29 +71,34 @@
 
 
 class LeadershipLost(Struct, frozen=True):
-    """Leadership went while a request waited: whether it took effect is not known. Ask again, same number."""
+    """Leadership was lost while a request waited, so whether it took effect is unknown.
+
+    The client repeats the request under the same number.
+    """
 
 
 Waiter = object
-Answer = Result | LeadershipLost | int  # int: the index that a confirmed read may be answered at
+Answer = Result | LeadershipLost | int  # int: the index of a confirmed read or of a membership change
 
 
 @dataclass(slots=True)
 class _PendingChange:
+    """A client's change; `term` is the term it was proposed in."""
+
     term: int
     waiter: Waiter
 
 
 @dataclass(slots=True)
 class _ClientRead:
-    """A client's read."""
+    """A client's linearizable read."""
 
     waiter: Waiter
 
 
 @dataclass(slots=True)
 class _LeaseRead:
-    """The confirmation that a lease waits for."""
+    """A read that confirms leadership for a lease request."""
 
     instance: str
     number: int
@@ -97,20 +106,22 @@
 
 @dataclass(slots=True)
 class _PendingMembership:
-    """An answer with the index alone, once the change of members is committed."""
+    """A membership change; its answer is its index, once it is committed."""
 
     waiter: Waiter
 
 
 @dataclass
 class NodeOutput:
-    """What `poll` hands to the host."""
+    """The messages to send and the answers to deliver."""
 
     outbox: list[tuple[str, PeerMessage]] = field(default_factory=list)
     answers: list[tuple[Waiter, Answer]] = field(default_factory=list)
 
 
 class Node:
+    """One replica: applies committed entries, grants and holds leases, and answers clients."""
+
     def __init__(
         self,
         name: str,
@@ -126,10 +137,13 @@
         snapshot_every: int = SNAPSHOT_INTERVAL_ENTRIES,
         raft: type[Raft] = Raft,
     ) -> None:
-        """`adopt` is called in the moment a revision takes effect: on return, nothing older is acted on.
-        `follow` likewise for orders of machines out for work, shares of limits, and verdicts.
+        """Starts from what is durable: the hard state, the snapshot and the entries after it.
+
+        `adopt` is called when a revision takes effect: when it returns, nothing older may be acted on.
+        `follow` is called in the same way for maintenance orders, shares of limits, and verdicts.
 
-        Raises `FormatError` for a state of another version."""
+        `lease` is in seconds, `snapshot_every` in entries. Raises `FormatError` for another version's state.
+        """
         self.name = name
         self.state_machine = StateMachine()
         if snapshot.data:
@@ -137,36 +151,38 @@
         self.raft = raft(name, rng, hard, snapshot, entries)
         self.lease = Lease(lease, rng.getrandbits(62))
         self.grants = Grants(lease)
-        self.stopped = ""  # why it takes part in nothing any more
+        self.stopped = ""  # the reason, once the replica has stopped
         self._adopt, self._follow = adopt, follow
-        self._revision = 0  # adopted last
-        self._followed_versions = (0, 0, 0)  # versions of the orders, shares and verdicts that are followed
-        self.demand: Mapping[str, float] = {}  # by limit, calls offered a second; output with each question
-        self._sent_demand = False  # whether the last telling was of any
-        self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> when heard, its demand
+        self._revision = 0  # last adopted
+        self._followed_versions = (0, 0, 0)  # of the orders, shares and verdicts passed to `follow`
+        self.demand: Mapping[str, float] = {}  # limit -> calls per second offered here
+        self._sent_demand = False  # whether the last demand sent was not empty
+        self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> time received, demand
         self._snapshot_every = snapshot_every
         self._snapshot_in_progress = False
         self._changes: dict[int, _PendingChange | _PendingMembership] = {}
-        self._unacknowledged: list[tuple[int, Waiter, Result]] = []  # index that must be adopted by all
-        self._pending_reads: list[tuple[int, _ClientRead]] = []  # confirmed, and not applied so far here
-        self._leading_term = 0  # the term in which `grants` was output that we lead
+        self._unacknowledged: list[tuple[int, Waiter, Result]] = []  # applied; index to be adopted first
+        self._pending_reads: list[tuple[int, _ClientRead]] = []  # confirmed; index to be applied first
+        self._leading_term = 0  # the term for which `grants` has started to lead; 0: not leading
         self._next_lease_request = now
         self._outbox: list[tuple[str, PeerMessage]] = []
         self._answers: list[tuple[Waiter, Answer]] = []
 
-    # What can be asked
+    # State
 
     def may_act(self, now: float) -> bool:
-        """The last look before something leaves that rests on the configuration."""
+        """Whether this instance may act; checked last before anything based on the configuration is sent."""
         return not self.stopped and self.lease.holds(now)
 
     @property
     def revision(self) -> Revision | None:
+        """The latest revision applied here."""
         return self.state_machine.latest
 
     # Inputs
 
     def tick(self, now: float) -> None:
+        """Advances the consensus core by one tick, and renews the lease when that is due."""
         if self.stopped:
             return
         self.raft.tick()
@@ -175,6 +191,7 @@
             self._request_lease(now)
 
     def receive(self, sender: str, message: PeerMessage, now: float) -> None:
+        """Handles a message of another replica."""
         if self.stopped:
             return
         match message:
@@ -189,21 +206,24 @@
                     self.demands[sender] = (now, rows)
             case Propose(data):
                 if self.raft.role is Role.LEADER:
-                    with suppress(BusyError):  # nobody waits for it; it comes again
+                    with suppress(BusyError):  # nobody waits for the command, and its sender repeats it
                         self.raft.propose(data)
             case _:
                 self.raft.step(sender, message)
         self._track_leadership(now)
 
     def change(self, envelope: Envelope, waiter: Waiter) -> None:
-        """Answered once it is committed, applied, and adopted by all who may act."""
+        """Proposes a change, answered once it is committed, applied here and adopted by all lease holders.
+
+        Raises `NotLeaderError` and `BusyError`.
+        """
         if len(self._changes) + len(self._unacknowledged) >= MAX_PENDING_CHANGES:
             raise BusyError("too many changes wait")
         index, term = self.raft.propose(encode(envelope))
         self._changes[index] = _PendingChange(term, waiter)
 
     def change_nowait(self, envelope: Envelope) -> None:
-        """A command that nobody waits for, to whoever leads; lost if nobody does."""
+        """Proposes a command without an answer, or forwards it to the leader; dropped if none is known."""
         data = encode(envelope)
         if self.raft.role is Role.LEADER:
             try:
@@ -214,20 +234,25 @@
             self._outbox.append((self.raft.leader, Propose(data)))
 
     def read(self, waiter: Waiter) -> None:
-        """Answered with an index once the state here is no older than the question."""
+        """Starts a linearizable read, answered with an index once the state here includes it.
+
+        Raises `NotLeaderError` and `BusyError`.
+        """
         self.raft.read(_ClientRead(waiter))
 
     def add(self, name: str, address: str, waiter: Waiter) -> None:
+        """Adds a replica as a learner, answered once that is committed; raises as `Raft.add` does."""
         index, _ = self.raft.add(name, address)
         self._changes[index] = _PendingMembership(waiter)
 
     def remove(self, name: str, waiter: Waiter) -> None:
+        """Removes a replica, answered once that is committed; raises as `Raft.remove` does."""
         index, _ = self.raft.remove(name)
         self._changes[index] = _PendingMembership(waiter)
 
-    def stop(self, why: str) -> None:
-        """Steps aside: acts on nothing, votes for nobody, says why."""
-        self.stopped = why
+    def stop(self, reason: str) -> None:
+        """Stops for good: the replica neither acts nor votes any more."""
+        self.stopped = reason
         self.lease.drop()
         self.grants.become_follower()
         self._fail_pending()
@@ -235,7 +260,7 @@
     # Outputs
 
     def poll(self, now: float) -> NodeOutput:
-        """After every turn of inputs, and after `written`."""
+        """Applies and answers what is due; called after each batch of inputs and after `written`."""
         if not self.stopped:
             self.raft.flush()
             self._track_leadership(now)
@@ -249,21 +274,24 @@
         return output
 
     def writes(self) -> Writes:
+        """The next write to make durable, before the following one is requested."""
         return Writes() if self.stopped else self.raft.writes()
 
     def written(self, writes: Writes, now: float) -> None:
+        """Records that `writes` is durable."""
         if not self.stopped:
             self.raft.written(writes)
             self._track_leadership(now)
 
     def snapshot_due(self) -> Snapshot | None:
-        """A snapshot to be made durable, if it is time; `compacted` follows."""
-        since, applied = self.raft.snapshot.index, self.state_machine.applied
-        enough = applied - since >= self._snapshot_every
-        large = self.raft.log.size(since + 1, applied) >= SNAPSHOT_INTERVAL_BYTES
-        return self.take_snapshot() if enough or large else None
+        """A snapshot if one is due: the host makes it durable, then calls `compacted`."""
+        last, applied = self.raft.snapshot.index, self.state_machine.applied
+        many = applied - last >= self._snapshot_every
+        large = self.raft.log.size(last + 1, applied) >= SNAPSHOT_INTERVAL_BYTES
+        return self.take_snapshot() if many or large else None
 
     def take_snapshot(self) -> Snapshot | None:
+        """A snapshot of the applied state; None if one is in progress or would hold nothing new."""
         if (
             self._snapshot_in_progress
             or self.stopped
@@ -274,11 +302,12 @@
         return self.raft.compact(self.state_machine.applied, self.state_machine.snapshot())
 
     def compacted(self, snapshot: Snapshot) -> None:
+        """Records that the snapshot is durable."""
         self._snapshot_in_progress = False
         self.raft.compacted(snapshot)
 
     def next_check_at(self, now: float) -> float:
-        """When an acknowledgement may come due by time alone."""
+        """The next time at which the expiry of a lease may allow an acknowledgement."""
         return self.grants.next_check_at(now, (index for index, *_ in self._unacknowledged))
 
     # Leases
@@ -291,23 +320,23 @@
             self._on_lease_request(self.name, self.lease.request(now), self.state_machine.applied, now)
         elif leader:
             self._outbox.append((leader, LeaseRequest(self.lease.request(now), self.state_machine.applied)))
-            if self.demand or self._sent_demand:  # that there is none any more is output as well, once
+            if self.demand or self._sent_demand:  # an empty demand is sent once, to cancel the last
                 self._outbox.append((leader, Demand(dict(self.demand))))
             self._sent_demand = bool(self.demand)
         else:
-            self._next_lease_request = now  # with the first tick that knows a leader
+            self._next_lease_request = now  # at the first tick with a known leader
 
     def _on_lease_request(self, sender: str, number: int, applied: int, now: float) -> None:
         if self.raft.role is not Role.LEADER or not self.raft.membership.get(sender):
             return
         self._track_leadership(now)
         self.grants.record_adopted(sender, applied)
-        self.grants.record_lease(sender, now)  # before the quorum is asked
-        with suppress(BusyError):  # it asks again
+        self.grants.record_lease(sender, now)  # before the quorum confirms leadership
+        with suppress(BusyError):  # the instance repeats its request
             self.raft.read(_LeaseRead(sender, number))
 
     def _track_leadership(self, now: float) -> None:
-        """Follows the consensus core into leadership and out of it."""
+        """Starts or stops leading as the consensus core does, and fails requests that leadership lost."""
         if self.raft.role is Role.LEADER:
             if self._leading_term != self.raft.term:
                 self._fail_pending()
@@ -318,7 +347,7 @@
             self._leading_term = 0
             self.grants.become_follower()
             self._restore_snapshot()
-            self._apply_committed()  # a leader that was removed steps down with the entry that says so
+            self._apply_committed()  # a removed leader steps down on committing its removal: that is answered
             self._fail_pending()
             self._next_lease_request = now
         for token in self.raft.dropped_reads:
@@ -327,6 +356,7 @@
         self.raft.dropped_reads.clear()
 
     def _fail_pending(self) -> None:
+        """Answers all pending changes with `LeadershipLost`."""
         for change in self._changes.values():
             self._answers.append((change.waiter, LeadershipLost()))
         for _, waiter, _ in self._unacknowledged:
@@ -354,8 +384,11 @@
 
     @property
     def has_unapplied(self) -> bool:
-        """Whether more is there to be applied: `poll` takes a part of it at a time, so that a host that has
-        much to catch up with goes on hearing and being heard."""
+        """Whether committed entries are left to apply.
+
+        `poll` applies a bounded number of them, so that a replica that is catching up keeps on exchanging
+        messages.
+        """
         raft = self.raft
         return not self.stopped and raft.log.base_index <= raft.applied < min(raft.commit, raft.log.stable)
 
@@ -384,17 +417,17 @@
         if isinstance(change, _PendingMembership) or change.term != entry.term:
             self._answers.append((change.waiter, LeadershipLost()))
         elif isinstance(result, Done):
-            # A repeated request's result names its first entry, and that is long adopted: waiting for this
-            # one costs nothing more.
+            # The result of a repeated request names its first entry, which is adopted long since. Waiting for
+            # the repeat's own, later index costs nothing more.
             self._unacknowledged.append((entry.index, change.waiter, result))
         else:
             self._answers.append((change.waiter, result))
 
     def _after_apply(self) -> None:
-        """A new revision, new orders, shares or verdicts take effect here, and the leader hears of it."""
+        """Puts a new revision, orders, shares or verdicts into effect, and reports that to the leader."""
         latest, versions = self.state_machine.latest, self.state_machine.versions
         changed = False
-        if versions != self._followed_versions:  # first, so that a revision takes effect under them at once
+        if versions != self._followed_versions:  # first: a new revision must take effect under them
             self._followed_versions, changed = versions, True
             self._follow(self.state_machine)
         if latest and latest.number != self._revision:
@@ -406,13 +439,13 @@
         self.grants.record_adopted(self.name, self.state_machine.applied)
 
     def _acknowledge(self, now: float) -> None:
-        kept = []
+        waiting = []
         for index, waiter, result in self._unacknowledged:
             if self.grants.waits_for(index, now):
-                kept.append((index, waiter, result))
+                waiting.append((index, waiter, result))
             else:
                 self._answers.append((waiter, result))
-        self._unacknowledged = kept
+        self._unacknowledged = waiting
 
     def _serve_reads(self) -> None:
         for token, index in self.raft.confirmed_reads:
--- a/harepick/store/state_machine.py
+++ b/harepick/store/state_machine.py
@@ -1,7 +1,8 @@
-"""The replicated state: configuration as numbered revisions, clients' sessions, and the pool view. Pure.
+"""The replicated state machine: revisions of the configuration, client sessions, pool views and fleet state.
 
-Every replica applies the same entries in the same order and comes to the same state; nothing here may depend
-on a clock, on chance or on who applies it. Times in it were written by whoever proposed, and decide nothing.
+Every replica applies the same entries in the same order and must reach the same state, so nothing here may
+depend on a clock, on randomness or on the replica that applies it. Times (`at`, in seconds) come from the
+proposer and decide nothing.
 """
 
 from __future__ import annotations
@@ -28,24 +29,24 @@
 from harepick.fleet.membership import AbsenceList, AbsenceListState, RefusedMemberStateError, SetMemberState
 from harepick.gapping import SlotAllocator, SlotRequest
 
-FORMAT_VERSION = 1  # of entries and snapshots; first byte of each
-MAX_SESSIONS = 4_096  # the one that was silent for longest is forgotten
+FORMAT_VERSION = 1  # first byte of each entry and snapshot
+MAX_SESSIONS = 4_096  # the least recently used one is dropped
 MAX_REVISIONS = 500
-MAX_HISTORY_BYTES = 8 * 1024 * 1024  # bytes of all revisions' texts
-MAX_TEXT_CHARS = 256 * 1024  # bytes of one configuration
-MAX_VIEW_ROWS = 256  # rows of one instance's view
-MAX_VIEWS = 64  # instances whose view is kept
+MAX_HISTORY_CHARS = 8 * 1024 * 1024  # of all revisions' texts
+MAX_TEXT_CHARS = 256 * 1024  # of one configuration
+MAX_VIEW_ROWS = 256  # of one instance's pool view
+MAX_VIEWS = 64  # pool views, one for each instance
 
 
 class FormatError(Exception):
-    """An entry or snapshot that this version does not know: acting on would be guessing."""
+    """An entry or snapshot that this version can't read; the replica must not go on without it."""
 
 
 # Commands
 
 
 class Put(Struct, frozen=True, tag="put"):
-    """A whole new configuration, if `expect` (a revision's number, or None) is still the latest."""
+    """Stores a complete configuration, if revision `expect` is still the latest (None: in any case)."""
 
     text: str
     expect: int | None = None
@@ -55,7 +56,7 @@
 
 
 class RollBack(Struct, frozen=True, tag="rollback"):
-    """The text of an earlier revision, as a new one."""
+    """Stores the text of the earlier revision `to` as a new revision."""
 
     to: int
     expect: int | None = None
@@ -65,7 +66,7 @@
 
 
 class PoolViewRow(Struct, frozen=True, array_like=True):
-    """What an instance knew of one server."""
+    """One server in an instance's pool view."""
 
     server: str
     number: int
@@ -77,23 +78,23 @@
 
 
 class PoolView(Struct, frozen=True, tag="view"):
-    """The pool as one instance knew it last."""
+    """Stores an instance's latest list of servers."""
 
     instance: str
     rows: tuple[PoolViewRow, ...]
-    offset: int = 0  # of the last event heard, where there is a bus
+    offset: int = 0  # of the last event received from the bus, if there is one
     at: float = 0.0
 
 
 class RequestSlots(Struct, frozen=True, tag="turns"):
-    """An instance wants turns of a gap from slot `first` on (`harepick/gapping/slot_allocation.py`)."""
+    """An instance requests slots of a gap, from slot `first` on (`harepick/gapping/slot_allocation.py`)."""
 
     instance: str
     gap: str
     first: int
-    demand: float  # its calls offered a second, lately
+    demand: float  # calls per second offered at the instance lately
     at: float = 0.0
-    most: int = 16  # slots at once
+    most: int = 16  # maximum number of slots
 
 
 Command = (
@@ -102,7 +103,10 @@
 
 
 class Envelope(Struct, frozen=True):
-    """A command of a client's session; `number` rises by one with each, and a repeat keeps its own."""
+    """A command in a client's session.
+
+    `number` rises by one with each command; a repeated command keeps its number and is applied once.
+    """
 
     session: str
     number: int
@@ -113,23 +117,27 @@
 
 
 class Done(Struct, frozen=True, tag="done"):
+    """The command took effect; `revision` is also the number of an issued verdict."""
+
     revision: int
     index: int
 
 
 class Conflict(Struct, frozen=True, tag="conflict"):
-    """Another change came first."""
+    """The latest revision is not the expected one."""
 
     expected: int
     latest: int
 
 
 class Refused(Struct, frozen=True, tag="refused"):
+    """The command changed nothing."""
+
     why: str
 
 
 class SlotsGranted(Struct, frozen=True, tag="granted"):
-    """Slots [first, first + length) of the gap are the asker's."""
+    """The slots [first, first + length) of the gap belong to the requesting instance."""
 
     gap: str
     first: int
@@ -138,7 +146,7 @@
 
 
 class OrderChanged(Struct, frozen=True, tag="ordered"):
-    """An order (0: none) as the command left it, and the version of the orders."""
+    """The order (0: none) after the command, and the version of the orders."""
 
     order: int
     state: str
@@ -147,7 +155,7 @@
 
 
 class StepApplied(Struct, frozen=True, tag="shared"):
-    """A step of the limits, verdicts or roster took effect."""
+    """A change of the limits, the verdicts or the absent members took effect."""
 
     index: int
 
@@ -156,6 +164,8 @@
 
 
 class Revision(Struct, frozen=True):
+    """One numbered version of the configuration."""
+
     number: int
     text: str
     author: str
@@ -165,12 +175,14 @@
 
 
 class Session(Struct):
+    """The number and result of a session's last command."""
+
     number: int
     result: Result
 
 
 class State(Struct):
-    """All that a snapshot holds."""
+    """The contents of a snapshot."""
 
     applied: int = 0
     revisions: list[Revision] = msgspec.field(default_factory=list)
@@ -190,10 +202,12 @@
 
 
 def encode(envelope: Envelope) -> bytes:
+    """The data of an entry."""
     return bytes([FORMAT_VERSION]) + msgspec.msgpack.encode(envelope)
 
 
 def decode(data: bytes) -> Envelope:
+    """The command in an entry's data; raises `FormatError`."""
     if not data or data[0] != FORMAT_VERSION:
         raise FormatError(f"entry of format {data[0] if data else None}; this version knows {FORMAT_VERSION}")
     try:
@@ -203,38 +217,40 @@
 
 
 class StateMachine:
-    """Owns the state; `apply` is the one way to change it."""
+    """The replicated state; only `apply`, `skip` and `restore` change it."""
 
     def __init__(self) -> None:
-        self.applied = 0  # index of the last entry
+        self.applied = 0  # index of the last applied entry
         self._revisions: OrderedDict[int, Revision] = OrderedDict()
-        self._history_bytes = 0  # bytes of their texts
+        self._history_chars = 0  # size of their texts
         self._sessions: OrderedDict[str, Session] = OrderedDict()
         self.views: dict[str, PoolView] = {}
-        self.slots = SlotAllocator()  # of gaps' slots over the fleet
-        self.orders = Orders()  # machines out for work
-        self.shares = Shares()  # of limits
+        self.slots = SlotAllocator()  # of the gaps' slots, to instances
+        self.orders = Orders()  # maintenance orders
+        self.shares = Shares()  # of limits, by instance
         self.verdicts = Verdicts()
-        self.absences = AbsenceList()  # of absent members
+        self.absences = AbsenceList()
 
     @property
     def latest(self) -> Revision | None:
+        """The latest revision, or None if there is none."""
         return next(reversed(self._revisions.values()), None)
 
     def revision(self, number: int) -> Revision | None:
+        """The revision of this number, or None if it is not kept."""
         return self._revisions.get(number)
 
-    def history(self, most: int = MAX_REVISIONS) -> list[Revision]:
-        """The latest first."""
-        return list(reversed(self._revisions.values()))[:most]
+    def history(self, limit: int = MAX_REVISIONS) -> list[Revision]:
+        """At most `limit` revisions, the latest first."""
+        return list(reversed(self._revisions.values()))[:limit]
 
     def repeated(self, session: str, number: int) -> Result | None:
-        """The result of a request that was applied before."""
+        """The result of a request if it is the last one applied in its session."""
         known = self._sessions.get(session)
         return known.result if known and known.number == number else None
 
     def apply(self, index: int, data: bytes) -> Result:
-        """Raises `FormatError`, changing nothing."""
+        """Applies the entry at `index`; raises `FormatError` and changes nothing if it can't be read."""
         assert index > self.applied, (index, self.applied)
         envelope = decode(data)
         self.applied = index
@@ -252,7 +268,7 @@
         return result
 
     def skip(self, index: int) -> None:
-        """An entry that is none of the machine's."""
+        """Records an entry that carries no command."""
         self.applied = index
 
     def _execute(self, index: int, command: Command) -> Result:
@@ -272,16 +288,16 @@
                 while len(self.views) > MAX_VIEWS:
                     del self.views[next(iter(self.views))]
                 return Done(self.latest.number if self.latest else 0, index)
-            case RequestSlots(instance, gap, first, demand, _, most):
-                block = self.slots.apply(SlotRequest(instance, gap, first, demand, most))
+            case RequestSlots(instance, gap, first, demand, _, max_slots):
+                block = self.slots.apply(SlotRequest(instance, gap, first, demand, max_slots))
                 return SlotsGranted(gap, block.first, block.length, index)
             case Split() | ReleaseOwed():
                 return self._apply_limit_command(index, command)
             case IssueVerdict() | LiftVerdict():
-                number, why = self.verdicts.apply(index, command)
-                if why:
-                    return Refused(why)
-                # `Done` is answered once all that may act honour it.
+                number, refusal = self.verdicts.apply(index, command)
+                if refusal:
+                    return Refused(refusal)
+                # The node acknowledges `Done` only once all lease holders have adopted the verdict.
                 return Done(number, index) if isinstance(command, IssueVerdict) else StepApplied(index)
             case SetMemberState():
                 try:
@@ -293,15 +309,15 @@
                 return self._apply_order_command(index, command)
 
     def _check_revision(self, revision: int) -> Refused | None:
-        """A step that was decided on another configuration than the latest."""
+        """Refuses a command that was decided on another revision than the latest."""
         latest = self.latest.number if self.latest else 0
         if revision == latest:
             return None
         return Refused(f"decided on revision {revision}, and {latest} is the latest")
 
     def _apply_order_command(self, index: int, command: OrderCommand) -> Result:
-        if isinstance(command, AdvanceOrder) and (stale := self._check_revision(command.revision)):
-            return stale
+        if isinstance(command, AdvanceOrder) and (refused := self._check_revision(command.revision)):
+            return refused
         try:
             order = self.orders.apply(index, command)
         except RefusedOrderError as error:
@@ -310,8 +326,8 @@
         return OrderChanged(number, state, self.orders.version, index)
 
     def _apply_limit_command(self, index: int, command: LimitCommand) -> Result:
-        if isinstance(command, Split) and (stale := self._check_revision(command.revision)):
-            return stale
+        if isinstance(command, Split) and (refused := self._check_revision(command.revision)):
+            return refused
         try:
             self.shares.apply(index, command)
         except RefusedSplitError as error:
@@ -320,7 +336,7 @@
 
     @property
     def versions(self) -> tuple[int, int, int]:
-        """Versions of what instances have to follow at once: orders, shares and verdicts."""
+        """Versions of the orders, shares and verdicts, which instances have to follow at once."""
         return (self.orders.version, self.shares.version, self.verdicts.version)
 
     def _put(self, index: int, text: str, expect: int | None, author: str, note: str, at: float) -> Result:
@@ -334,13 +350,14 @@
 
     def _add_revision(self, revision: Revision) -> None:
         self._revisions[revision.number] = revision
-        self._history_bytes += len(revision.text)
+        self._history_chars += len(revision.text)
         while len(self._revisions) > MAX_REVISIONS or (
-            self._history_bytes > MAX_HISTORY_BYTES and len(self._revisions) > 1
+            self._history_chars > MAX_HISTORY_CHARS and len(self._revisions) > 1
         ):
-            self._history_bytes -= len(self._revisions.popitem(last=False)[1].text)
+            self._history_chars -= len(self._revisions.popitem(last=False)[1].text)
 
     def snapshot(self) -> bytes:
+        """The whole state, encoded."""
         state = State(
             self.applied,
             list(self._revisions.values()),
@@ -355,7 +372,7 @@
         return bytes([FORMAT_VERSION]) + msgspec.msgpack.encode(state)
 
     def restore(self, data: bytes) -> None:
-        """Takes a snapshot's state over; raises `FormatError`, changing nothing."""
+        """Replaces the state by a snapshot's; raises `FormatError`, and changes nothing, if unreadable."""
         if not data or data[0] != FORMAT_VERSION:
             raise FormatError(
                 f"snapshot of format {data[0] if data else None}; this version knows {FORMAT_VERSION}"
@@ -365,8 +382,8 @@
         except (msgspec.DecodeError, ValueError) as error:
             raise FormatError(f"snapshot of format {FORMAT_VERSION} that can't be read: {error}") from None
         self.applied = state.applied
-        self._revisions = OrderedDict((r.number, r) for r in state.revisions)
-        self._history_bytes = sum(len(r.text) for r in state.revisions)
+        self._revisions = OrderedDict((revision.number, revision) for revision in state.revisions)
+        self._history_chars = sum(len(revision.text) for revision in state.revisions)
         self._sessions = OrderedDict(state.sessions)
         self.views = state.views
         self.slots = SlotAllocator()
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -48,7 +48,7 @@
     assert len(machine.history()) == m.MAX_REVISIONS and machine.revision(1) is None
     for _ in range(40):
         apply(machine, m.Put("x" * m.MAX_TEXT_CHARS))
-    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY_BYTES
+    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY_CHARS
     for n in range(m.MAX_VIEWS + 5):
         apply(machine, m.PoolView(f"i{n}", ()))
     assert len(machine.views) == m.MAX_VIEWS and "i0" not in machine.views
