--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -1,4 +1,4 @@
-"""The store's rules in the seeded world, and that the world finds it when one of them is broken."""
+"""The seeded simulation of the store: its invariants hold under faults, and broken rules are detected."""
 
 from __future__ import annotations
 
@@ -14,27 +14,32 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_the_rules_hold_in_a_world_of_troubles(seed: int) -> None:
+def test_the_invariants_hold_under_faults(seed: int) -> None:
+    """Crashes, pauses, partitions and lost messages; `World` checks the invariants in every step."""
     world = play(seed, (3, 5)[seed % 2], 12.0)
     assert world.stats["acks"] > 20 and world.stats["acts"] > 200 and world.stats["leaders"] > 1
 
 
 def found(world: type[World], seeds: int = 60) -> str:
-    """What the first seed that finds something says."""
+    """The message of the first seed that detects a violation."""
     for seed in range(seeds):
         try:
             play(seed, 3, 20.0, world)
         except AssertionError as error:
             return str(error)
-    raise AssertionError(f"{world.__name__}: not found in {seeds} worlds")
+    raise AssertionError(f"{world.__name__}: not detected with {seeds} seeds")
 
 
 class VoteNotPersisted(World):
+    """Broken: term and vote are lost in a crash."""
+
     def persist(self, storage: Storage, writes: Writes) -> None:
         super().persist(storage, Writes(None, writes.entries, writes.snapshot))
 
 
 class AcknowledgedBeforeSync(World):
+    """Broken: some writes are reported durable without being written."""
+
     def persist(self, storage: Storage, writes: Writes) -> None:
         if writes.snapshot or self.rng.random() < 0.7:
             super().persist(storage, writes)
@@ -43,15 +48,21 @@
 
 
 class _VotesForAnyone(Raft):
+    """Broken: a vote is granted whatever log the candidate has."""
+
     def _is_up_to_date(self, last_index: int, last_term: int) -> bool:
         return True
 
 
 class OldLogsElected(World):
+    """Broken: candidates that lack committed entries are elected."""
+
     raft = _VotesForAnyone
 
 
 class _VotesTwice(Raft):
+    """Broken: grants any number of votes in a term, and rejects no candidate for a known leader."""
+
     def step(self, sender: str, message: Message) -> None:
         if isinstance(message, RequestVote) and message.term == self.term:
             self.vote = ""
@@ -65,15 +76,21 @@
 
 
 class TwoVotesATerm(World):
+    """Broken: replicas vote more than once in a term."""
+
     raft = _VotesTwice
 
 
 class LeaseIgnoredAfterAPause(World):
+    """Broken: an instance acts without checking its lease."""
+
     def may_act(self, host: Host) -> bool:
         return bool(host.node and not host.node.stopped and host.revision)
 
 
 class NoWaitAfterElection(World):
+    """Broken: a new leader does not wait for the leases of earlier leaders to expire."""
+
     def _start(self, host: Host) -> None:
         super()._start(host)
         if host.node:
@@ -81,6 +98,8 @@
 
 
 class AcknowledgedUnadopted(World):
+    """Broken: a change is acknowledged before all lease holders have adopted it."""
+
     def _start(self, host: Host) -> None:
         super()._start(host)
         if host.node:
@@ -99,25 +118,25 @@
         AcknowledgedUnadopted,
     ],
 )
-def test_a_broken_rule_is_found(world: type[World]) -> None:
+def test_a_broken_rule_is_detected(world: type[World]) -> None:
     assert found(world)
 
 
-def test_what_is_found_is_a_violation_and_plays_again_from_its_seed() -> None:
+def test_a_violation_is_reproduced_from_its_seed() -> None:
     def first() -> tuple[int, str]:
         for seed in range(60):
             try:
                 play(seed, 3, 20.0, AcknowledgedUnadopted)
             except ViolationError as error:
                 return seed, str(error)
-        raise AssertionError("not found")
+        raise AssertionError("not detected")
 
     assert first() == first()
     assert "stale act" in first()[1]
 
 
 class Quiet(World):
-    """No troubles but the one that a test brings, and no clients but its own."""
+    """A simulation without faults and clients, except for those of the test."""
 
     def __init__(self, seed: int, replicas: int) -> None:
         super().__init__(seed, replicas)
@@ -131,10 +150,11 @@
     def _trouble(self) -> None: ...
 
     def leader(self) -> Host:
-        return next(h for h in self.hosts.values() if h.node and h.node.raft.role is Role.LEADER)
+        """The host that leads."""
+        return next(host for host in self.hosts.values() if host.node and host.node.raft.role is Role.LEADER)
 
     def change(self, text: str, answers: list[object]) -> None:
-        """Asked of every replica until one of them has answered, always under the same number."""
+        """Requests a change from every replica until one has answered, always under the same number."""
 
         def ask() -> None:
             if answers:
@@ -159,9 +179,11 @@
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
 @pytest.mark.parametrize("loss", ["killed", "power", "paused", "deaf", "mute"])
-def test_one_replica_lost_at_every_step_of_a_change(loss: str, role: str) -> None:
-    """The change takes effect once, in bounded time, and nothing acts on what was before it once it is
-    told."""
+def test_a_change_survives_the_loss_of_one_replica_at_any_step(loss: str, role: str) -> None:
+    """The change takes effect exactly once and within 6 s, whichever step the fault falls on.
+
+    `World` also checks that nobody acts on an older configuration once the change is acknowledged.
+    """
     for step in range(0, 90, 2):
         world = Quiet(7, 3)
         world.play(2.0)
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -1,4 +1,4 @@
-"""The store's pure parts by themselves: state machine, leases, routes, wire."""
+"""The pure parts of the store: state machine, node, leases, routes and wire format."""
 
 from __future__ import annotations
 
@@ -21,11 +21,12 @@
 from harepick.store.raft.core import BusyError, Raft
 from harepick.store.raft.messages import Entry, HardState, Kind, Member, Membership, Snapshot
 
-FEW = settings(max_examples=80, deadline=None, derandomize=True)
-ONE = Membership((Member("a", "127.0.0.1:1"),))
+EXAMPLES = settings(max_examples=80, deadline=None, derandomize=True)
+SINGLE_REPLICA = Membership((Member("a", "127.0.0.1:1"),))
 
 
 def apply(machine: m.StateMachine, body: m.Command, session: str = "", number: int = 0) -> m.Result:
+    """Applies a command as the next entry."""
     return machine.apply(machine.applied + 1, m.encode(m.Envelope(session, number, body)))
 
 
@@ -56,7 +57,8 @@
     assert isinstance(apply(machine, m.PoolView("i", rows)), m.Refused)
 
 
-def test_an_entry_of_an_unknown_format_stops_before_it_acts() -> None:
+def test_an_entry_of_an_unknown_format_stops_the_replica() -> None:
+    """An entry of a newer version must not be skipped: the replica stops before it, and acts no more."""
     machine = m.StateMachine()
     for data in (b"", b"\x02rest", bytes([m.FORMAT_VERSION]) + b"\xc1"):
         with pytest.raises(m.FormatError):
@@ -69,7 +71,7 @@
         Entry(2, 1, Kind.COMMAND, b"\x09later"),
         Entry(3, 1, Kind.COMMAND, m.encode(m.Envelope("", 0, m.Put("never")))),
     ]
-    node = Node("a", Random(1), HardState(1, "a"), Snapshot(0, 0, ONE), entries, 0.0)
+    node = Node("a", Random(1), HardState(1, "a"), Snapshot(0, 0, SINGLE_REPLICA), entries, 0.0)
     for n in range(50):
         node.tick(n * 0.02)
         if writes := node.writes():
@@ -81,7 +83,8 @@
 
 
 def test_a_revision_that_this_version_cannot_read_stops_the_replica() -> None:
-    node = Node("a", Random(1), HardState(), Snapshot(0, 0, ONE), (), 0.0)
+    """Adopting it fails, so it must not be acknowledged."""
+    node = Node("a", Random(1), HardState(), Snapshot(0, 0, SINGLE_REPLICA), (), 0.0)
 
     def adopt(revision: m.Revision) -> None:
         node.stop(f"revision {revision.number}")
@@ -96,11 +99,11 @@
             node.written(writes, n * 0.02)
         answers += node.poll(n * 0.02).answers
     assert node.stopped == "revision 1" and not node.may_act(1.2)
-    assert not any(isinstance(answer, m.Done) for _, answer in answers), "acknowledged though it stopped"
+    assert not any(isinstance(answer, m.Done) for _, answer in answers), "acknowledged by a stopped replica"
 
 
 def test_pending_bytes_are_bounded() -> None:
-    raft = Raft("a", Random(1), HardState(), Snapshot(0, 0, ONE))
+    raft = Raft("a", Random(1), HardState(), Snapshot(0, 0, SINGLE_REPLICA))
     raft.tick()
     raft.written(raft.writes())
     with pytest.raises(BusyError, match="bytes"):
@@ -171,17 +174,17 @@
 TestMachines = Machines.TestCase
 
 
-def test_a_lease_counts_from_the_question_and_once_applied() -> None:
+def test_a_lease_runs_from_its_request_once_the_index_is_applied() -> None:
     lease = Lease(1.0, 7)
     number = lease.request(10.0)
     assert not lease.holds(10.0)
-    lease.record_grant(number + 1, 0)  # to a question that was never asked
+    lease.record_grant(number + 1, 0)  # a request that was never made
     assert not lease.holds(10.0)
     lease.record_grant(number, 5)
-    assert not lease.holds(10.1), "it has not applied what it was told to"
+    assert not lease.holds(10.1), "the granted index is not applied yet"
     lease.record_applied(5)
     assert lease.holds(10.99) and not lease.holds(11.0)
-    lease.record_grant(number, 0)  # again
+    lease.record_grant(number, 0)  # repeated
     assert not lease.holds(11.0)
     other = lease.request(20.0)
     lease.drop()
@@ -189,10 +192,10 @@
     assert not lease.holds(20.1)
 
 
-@FEW
+@EXAMPLES
 @given(st.data())
 def test_an_acknowledgement_never_comes_before_a_holder_has_adopted_or_lapsed(data: st.DataObject) -> None:
-    """Leader and holders with clocks of rates that differ by less than the slack."""
+    """The clocks of leader and holders differ in rate by less than `CLOCK_RATE_MARGIN`."""
     length, grants = 1.0, Grants(1.0)
     rates = [data.draw(st.floats(0.96, 1.04)) for _ in range(3)]
     leases = [Lease(length, n) for n in range(3)]
@@ -222,7 +225,7 @@
     routes = Routes(rows, numbers, ["north", "south", "east"])
     assert routes.first_choice("+94771234560") == 1
     assert {routes.first_choice(f"+941112345{n}") for n in range(10)} == {0, 2}
-    assert routes.first_choice("+94815") == 1, "a route without an upstream counts"
+    assert routes.first_choice("+94815") == 1, "a route without a known upstream was used"
     assert routes.first_choice("+1") in (0, 1, 2)
     drained = Routes(rows, numbers, ["north"])
     assert drained.first_choice("+94771234560") == 0 and drained.first_choice("+94111") == 0
@@ -241,14 +244,14 @@
         ("not TOML", "[enum\n"),
     ],
 )
-def test_a_faulty_shared_configuration_names_its_key(key: str, text: str) -> None:
+def test_a_faulty_store_configuration_names_its_key(key: str, text: str) -> None:
     with pytest.raises(SettingsError) as caught:
         read_store_config('[[upstream]]\nname = "a"\naddress = "127.0.0.1:1"\n' + text)
     assert key in str(caught.value)
 
 
 class _Stream:
-    """A byte stream in pieces."""
+    """A byte stream that arrives in pieces."""
 
     def __init__(self, data: bytes, cuts: list[int]) -> None:
         self.pieces = [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True) if a < b]
@@ -259,7 +262,7 @@
         return self.pieces.pop(0)
 
 
-@FEW
+@EXAMPLES
 @given(st.lists(st.binary(max_size=40), max_size=6), st.data())
 def test_frames_come_whole_however_they_are_cut(values: list[bytes], data: st.DataObject) -> None:
     sent = b"".join(wire.frame(value) for value in values)
@@ -272,7 +275,7 @@
     assert anyio.run(read) == values
 
 
-@FEW
+@EXAMPLES
 @given(st.binary(max_size=80))
 def test_bytes_of_no_sense_are_an_error_of_the_wire_alone(data: bytes) -> None:
     for reader in (wire.hellos.read, wire.requests.read, wire.responses.read, wire.peer_message):
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -1,4 +1,4 @@
-"""The consensus core by itself: the cases that the seeded world meets too seldom, written out."""
+"""The Raft consensus core alone: cases that the simulation in `benchmarks/store_model.py` rarely meets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Cluster:
-    """Cores whose messages the test lets through, and whose disks are at once."""
+    """Consensus cores that exchange messages when the test says so; disk writes complete at once."""
 
     def __init__(self, *names: str, raft: type[Raft] = Raft) -> None:
         self.membership = Membership(tuple(Member(n, f"127.0.0.1:{k + 1}") for k, n in enumerate(names)))
@@ -40,6 +40,7 @@
         return self.rafts[name]
 
     def settle(self, rounds: int = 60) -> None:
+        """Writes, delivers and applies, so many rounds, at and between the replicas that are not down."""
         for _ in range(rounds):
             for name, raft in list(self.rafts.items()):
                 if name in self.down:
@@ -55,7 +56,7 @@
                         self.rafts[to].step(name, message)
 
     def lead(self, name: str) -> Raft:
-        """Has this one campaign until it leads."""
+        """Lets this replica campaign until it leads."""
         raft = self.rafts[name]
         for _ in range(20):
             for _ in range(40):
@@ -65,10 +66,11 @@
                 return raft
             for other in self.rafts.values():
                 if other is not raft and other.name not in self.down:
-                    other._election_elapsed = 100  # they have heard no leader for long
-        raise AssertionError(f"{name} does not come to lead")
+                    other._election_elapsed = 100  # they have not heard from a leader for long
+        raise AssertionError(f"{name} does not become the leader")
 
     def terms(self, name: str) -> list[int]:
+        """The terms of the entries in that replica's log."""
         log = self.rafts[name].log
         return [log.get(n).term for n in range(log.base_index + 1, log.last_index + 1)]
 
@@ -88,12 +90,14 @@
 
 
 class _CommitsOldTerms(Raft):
+    """Broken: a leader commits entries of earlier terms as soon as a quorum has them."""
+
     def _may_commit(self, index: int) -> bool:
         return True
 
 
 def _figure_8(raft: type[Raft]) -> Raft:
-    """Figure 8 of the Raft paper: a leader finds an entry of an old term on a quorum, its own on none."""
+    """Figure 8 of the Raft paper: a quorum has an entry of an old term, and none of the leader's own term."""
     names = ("a", "b", "c", "d", "e")
     membership = Membership(tuple(Member(n, f"127.0.0.1:{k + 1}") for k, n in enumerate(names)))
     old = [Entry(1, 1, Kind.NO_OP, b""), Entry(2, 2, Kind.COMMAND, b"old")]
@@ -111,21 +115,22 @@
     return leader
 
 
-def test_an_entry_of_an_old_term_is_not_committed_by_counting_disks() -> None:
+def test_an_entry_of_an_old_term_is_not_committed_by_counting_replicas() -> None:
+    """Such an entry may still be overwritten; it is committed together with one of the leader's own term."""
     leader = _figure_8(Raft)
     assert leader.commit == 0
     leader.written(leader.writes())
     for name in ("b", "c"):
         leader.step(name, AppendEntriesReply(4, True, 3, 0))
     assert leader.commit == 3
-    assert _figure_8(_CommitsOldTerms).commit == 2, "the case does not show what it is for"
+    assert _figure_8(_CommitsOldTerms).commit == 2, "the broken core passes as well"
 
 
-def test_a_vote_waits_for_the_disk_and_is_given_once_a_term() -> None:
+def test_a_vote_is_durable_before_it_is_sent_and_given_once_a_term() -> None:
     cluster = Cluster("a", "b", "c")
     voter = cluster["a"]
     voter.step("b", RequestVote(5, 0, 0))
-    assert not voter.outbox, "a vote left before it was durable"
+    assert not voter.outbox, "a vote was sent before it was durable"
     writes = voter.writes()
     assert writes.hard_state == HardState(5, "b")
     voter.written(writes)
@@ -136,7 +141,8 @@
     assert voter.outbox == [("c", RequestVoteReply(5, False))]
 
 
-def test_a_cut_off_replica_does_not_raise_the_term_when_it_comes_back() -> None:
+def test_a_partitioned_replica_does_not_raise_the_term_when_it_returns() -> None:
+    """Without pre-votes it would campaign in ever higher terms, and depose the leader on its return."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"c"}
@@ -150,7 +156,7 @@
     assert leader.role is Role.LEADER and leader.term == term == cluster["c"].term
 
 
-def test_a_candidate_is_turned_away_while_the_leader_is_heard() -> None:
+def test_a_candidate_is_rejected_while_a_leader_is_known() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     term = leader.term
@@ -160,8 +166,11 @@
     assert cluster["b"].term == term + 5
 
 
-def test_a_pre_vote_that_came_too_early_is_asked_for_again_soon() -> None:
-    """Another had heard the lost leader a little later, and turned it away: it waited a whole time-out."""
+def test_a_rejected_pre_vote_is_retried_soon() -> None:
+    """A voter that heard from the lost leader slightly later rejects the first pre-vote.
+
+    Without an early retry, the rejected replica waits for a whole election timeout.
+    """
     for seed in range(20):
         cluster = Cluster("a", "b", "c")
         cluster.lead("a")
@@ -176,11 +185,11 @@
             c.tick()
             cluster.settle()
             ticks += 1
-            assert ticks <= 12, "it did not ask again"
-        assert c.term == b.term == 2, "no term was wasted on it"
+            assert ticks <= 12, "the pre-vote was not retried"
+        assert c.term == b.term == 2, "a pre-vote raised the term"
 
 
-def test_a_leader_that_its_quorum_does_not_hear_steps_down_and_drops_its_reads() -> None:
+def test_a_leader_without_a_quorum_steps_down_and_drops_its_reads() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"b", "c"}
@@ -196,12 +205,15 @@
 
 
 class _ReadsWithoutQuorum(Raft):
+    """Broken: a leader confirms reads without a quorum."""
+
     def _confirm_reads(self) -> None:
         self.confirmed_reads += [(token, index) for _, index, token in self._pending_reads]
         self._pending_reads = []
 
 
-def test_a_leader_that_is_cut_off_answers_no_read() -> None:
+def test_a_partitioned_leader_answers_no_read() -> None:
+    """Another leader may have been elected meanwhile, so its state may be stale."""
     for raft, answers in ((Raft, False), (_ReadsWithoutQuorum, True)):
         cluster = Cluster("a", "b", "c", raft=raft)
         leader = cluster.lead("a")
@@ -211,20 +223,21 @@
         assert bool(leader.confirmed_reads) is answers, raft
 
 
-def test_a_read_needs_a_round_that_began_after_it() -> None:
+def test_a_read_needs_a_read_round_that_started_after_it() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     late = [m for m in cluster.sent if m[1] == "a"]
     leader.read("question")
     leader.flush()
-    for sender, _, message in late:  # answers to earlier rounds say nothing
+    for sender, _, message in late:  # replies to earlier read rounds confirm nothing
         leader.step(sender, message)
     assert not leader.confirmed_reads
     cluster.settle()
     assert leader.confirmed_reads == [("question", leader.commit)]
 
 
-def test_a_follower_far_behind_is_found_again_with_few_messages() -> None:
+def test_a_lagging_follower_catches_up_with_few_messages() -> None:
+    """Probing back entry by entry would take one message for each entry that conflicts."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"c"}
@@ -233,7 +246,7 @@
         if n % 50 == 0:
             cluster.settle(3)
     cluster.settle()
-    # c has a tail of its own, of a term that no one else knows.
+    # c has further entries that no other replica has.
     tail = [Entry(n, 1, Kind.COMMAND, b"own") for n in range(cluster["c"].log.last_index + 1, 200)]
     cluster["c"].log.append(tail)
     cluster.down = set()
@@ -247,7 +260,8 @@
     assert len(probes) < 40
 
 
-def test_flight_is_bounded_towards_one_that_does_not_answer() -> None:
+def test_messages_in_flight_to_an_unresponsive_replica_are_bounded() -> None:
+    """So are the entries that wait to be committed: further proposals are refused."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.settle()
@@ -255,20 +269,21 @@
     for n in range(300):
         leader.propose(b"%d" % n)
         cluster.settle(2)
-    on_the_way = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, AppendEntries) and m.entries]
-    assert len(on_the_way) <= MAX_IN_FLIGHT_APPENDS + 2
+    in_flight = [m for s, to, m in cluster.sent if to == "c" and isinstance(m, AppendEntries) and m.entries]
+    assert len(in_flight) <= MAX_IN_FLIGHT_APPENDS + 2
     with pytest.raises(BusyError):
         for _ in range(10_000):
             leader.propose(b"x")
 
 
 def _compacted(cluster: Cluster, leader: Raft, data: bytes) -> None:
+    """Takes a snapshot with this data, and drops all entries that it covers."""
     snapshot = leader.compact(leader.applied, data)
     leader.compacted(snapshot)
     leader.log.compact(snapshot.index)
 
 
-def test_a_snapshot_goes_in_chunks_and_resumes_where_it_broke_off() -> None:
+def test_a_snapshot_is_sent_in_chunks_and_resumes_after_a_loss() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"c"}
@@ -309,7 +324,8 @@
     assert follower.commit == leader.commit
 
 
-def test_entries_behind_a_snapshot_that_were_acknowledged_stay() -> None:
+def test_acknowledged_entries_after_a_snapshot_are_kept() -> None:
+    """A late snapshot that ends within the follower's log must not cut off what it acknowledged since."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     for n in range(10):
@@ -324,7 +340,7 @@
     assert follower.log.last_index == last and follower.commit == 5
 
 
-def test_a_new_replica_learns_first_and_then_votes() -> None:
+def test_a_new_replica_is_a_learner_until_it_has_caught_up() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     for n in range(200):
@@ -333,7 +349,7 @@
     leader.add("d", "127.0.0.1:9")
     assert not leader.membership.is_voter("d") and leader.membership.quorum == 2
     cluster.settle()
-    assert not leader.membership.is_voter("d"), "promoted though it has not caught up"
+    assert not leader.membership.is_voter("d"), "promoted before it has caught up"
     with pytest.raises(BadChangeError):
         leader.add("d", "127.0.0.1:9")
     cluster.rafts["d"] = Raft("d", Random(9), HardState(), Snapshot())
@@ -344,7 +360,7 @@
     assert leader.membership.quorum == 3
 
 
-def test_one_change_of_members_at_a_time() -> None:
+def test_one_membership_change_at_a_time() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"b", "c"}
@@ -353,7 +369,7 @@
         leader.remove("b")
 
 
-def test_a_leader_that_is_removed_sees_it_through_and_goes() -> None:
+def test_a_removed_leader_commits_its_removal_and_steps_down() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     leader.remove("a")
@@ -361,30 +377,31 @@
     assert leader.role is Role.FOLLOWER
     for _ in range(200):
         leader.tick()
-    assert leader.role is Role.FOLLOWER, "a removed replica campaigns"
-    again = cluster.lead("b")
-    assert again.membership.voters == ("b", "c")
+    assert leader.role is Role.FOLLOWER, "a removed replica campaigned"
+    next_leader = cluster.lead("b")
+    assert next_leader.membership.voters == ("b", "c")
     with pytest.raises(BadChangeError):
         Cluster("x").lead("x").remove("x")
 
 
-def test_the_leader_dies_in_a_change_of_members_and_the_next_undoes_or_finishes_it() -> None:
+def test_a_membership_change_of_a_dead_leader_is_undone_by_the_next() -> None:
+    """The change reached no other replica: the old leader must drop it when it follows the new one."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     cluster.down = {"b", "c"}
-    leader.remove("c")  # nobody else has heard of it
+    leader.remove("c")  # reaches no other replica
     cluster.settle()
     cluster.down = {"a"}
-    following = cluster.lead("b")
-    assert following.membership.voters == ("a", "b", "c")
+    next_leader = cluster.lead("b")
+    assert next_leader.membership.voters == ("a", "b", "c")
     cluster.down = set()
     for _ in range(20):
-        following.tick()
+        next_leader.tick()
         cluster.settle(5)
-    assert cluster["a"].membership.voters == ("a", "b", "c"), "the cut off change still holds"
+    assert cluster["a"].membership.voters == ("a", "b", "c"), "the undone change is still in effect"
 
 
-def test_leadership_is_handed_over_at_once() -> None:
+def test_leadership_is_transferred_at_once() -> None:
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     leader.propose(b"x")
@@ -399,10 +416,11 @@
         cluster["c"].tick()
         cluster["a"].tick()
     cluster.settle()
-    cluster["c"].propose(b"z")  # the target did not come: it goes on
+    cluster["c"].propose(b"z")  # the target did not take over, so proposals are accepted again
 
 
-def test_messages_of_no_sense_change_nothing() -> None:
+def test_unexpected_messages_change_nothing() -> None:
+    """Old messages, from wrong senders too, must not disturb the leader."""
     cluster = Cluster("a", "b", "c")
     leader = cluster.lead("a")
     before = (leader.term, leader.commit, leader.log.last_index)
@@ -414,13 +432,13 @@
     assert (leader.term, leader.commit) == before[:2] and leader.role is Role.LEADER
 
 
-def test_the_disk_gets_each_entry_once_and_in_order() -> None:
+def test_each_entry_is_written_once_and_in_order() -> None:
     cluster = Cluster("a")
     raft = cluster["a"]
     for _ in range(40):
         raft.tick()
     writes: Writes = raft.writes()
-    assert writes.hard_state and raft.role is Role.CANDIDATE, "leads before its own vote is durable"
+    assert writes.hard_state and raft.role is Role.CANDIDATE, "it leads before its own vote is durable"
     raft.written(writes)
     raft.propose(b"x")
     first = raft.writes()
