--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -126,7 +126,7 @@
         self,
         name: str,
         rng: Random,
-        hard: HardState,
+        hard_state: HardState,
         snapshot: Snapshot,
         entries: Iterable[Entry],
         now: float,
@@ -148,7 +148,7 @@
         self.state_machine = StateMachine()
         if snapshot.data:
             self.state_machine.restore(snapshot.data)
-        self.raft = raft(name, rng, hard, snapshot, entries)
+        self.raft = raft(name, rng, hard_state, snapshot, entries)
         self.lease = Lease(lease, rng.getrandbits(62))
         self.grants = Grants(lease)
         self.stopped = ""  # the reason, once the replica has stopped
@@ -336,7 +336,7 @@
             self.raft.read(_LeaseRead(sender, number))
 
     def _track_leadership(self, now: float) -> None:
-        """Starts or stops leading as the consensus core does, and fails requests that leadership lost."""
+        """Starts or stops leading as the consensus core does, and fails the requests that this loses."""
         if self.raft.role is Role.LEADER:
             if self._leading_term != self.raft.term:
                 self._fail_pending()
@@ -417,7 +417,7 @@
         if isinstance(change, _PendingMembership) or change.term != entry.term:
             self._answers.append((change.waiter, LeadershipLost()))
         elif isinstance(result, Done):
-            # The result of a repeated request names its first entry, which is adopted long since. Waiting for
+            # The result of a repeated request names its first entry, which has long been adopted. Waiting for
             # the repeat's own, later index costs nothing more.
             self._unacknowledged.append((entry.index, change.waiter, result))
         else:
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -559,8 +559,8 @@
             self._send_append(name, progress)
 
     def _send_append(self, name: str, progress: Progress, *, empty: bool = False) -> None:
-        prev = progress.next - 1
-        prev_term = self.log.term(prev)
+        prev_index = progress.next - 1
+        prev_term = self.log.term(prev_index)
         if prev_term is None or progress.next <= self.log.base_index:
             progress.start_snapshot(self.snapshot.index)
             self._send_chunk(name, progress)
@@ -569,9 +569,9 @@
         if not empty and progress.next <= self.log.last_index:
             entries = self.log.slice(progress.next, self.log.last_index, MAX_APPEND_BYTES)
         if entries or progress.mode is Mode.PROBE:
-            progress.record_sent(entries[-1].index if entries else prev)
+            progress.record_sent(entries[-1].index if entries else prev_index)
         self.outbox.append(
-            (name, AppendEntries(self.term, prev, prev_term, entries, self.commit, self.read_round))
+            (name, AppendEntries(self.term, prev_index, prev_term, entries, self.commit, self.read_round))
         )
 
     def _send_chunk(self, name: str, progress: Progress) -> None:
@@ -601,9 +601,9 @@
     def _on_append(self, sender: str, message: AppendEntries) -> None:
         assert self.role is not Role.LEADER, "two leaders in one term"
         self._accept_leader(sender)
-        prev, read_round = message.prev_index, message.read_round
-        prev_term = self.log.term(prev)
-        if prev < self.log.base_index:
+        prev_index, read_round = message.prev_index, message.read_round
+        prev_term = self.log.term(prev_index)
+        if prev_index < self.log.base_index:
             # Entries up to the base index are compacted here, hence committed: the logs match up to there.
             remaining = tuple(each for each in message.entries if each.index > self.log.base_index)
             if not remaining:
@@ -616,11 +616,11 @@
             )
         elif prev_term != message.prev_term:
             if prev_term is None:
-                hint, hint_term = self.log.last_index + 1, 0
+                hint_index, hint_term = self.log.last_index + 1, 0
             else:
-                hint, hint_term = self.log.first_index_of_term(prev), prev_term
+                hint_index, hint_term = self.log.first_index_of_term(prev_index), prev_term
             self._send_after_write(
-                sender, AppendEntriesReply(self.term, False, prev, read_round, hint, hint_term)
+                sender, AppendEntriesReply(self.term, False, prev_index, read_round, hint_index, hint_term)
             )
             return
         for position, entry in enumerate(message.entries):
