--- a/benchmarks/limit_model.py
+++ b/benchmarks/limit_model.py
@@ -174,8 +174,8 @@
 class _Forgetful(CallerBuckets):
     """Broken on purpose: whoever was dropped from the table comes back with all that may be saved up."""
 
-    def _forget(self, caller: str, row: Any) -> None:
-        self._floor = float("-inf")
+    def _forget(self, caller: str, bucket: Any) -> None:
+        self._spent_credit = float("-inf")
 
 
 class CallerWorld(LimitWorld):
--- a/harepick/cli/limit.py
+++ b/harepick/cli/limit.py
@@ -123,7 +123,7 @@
     from harepick.settings import read_store_config
 
     text = store.ask(lambda client: client.call("get", {}, store.within))["text"]
-    met = [row.id for row in read_store_config(text).limits if row.meets(number, call_class, source)]
+    met = [row.id for row in read_store_config(text).limits if row.applies_to(number, call_class, source)]
     found = _rows(store)
     blocked = [
         v["subject"]
--- a/harepick/fleet/limits/__init__.py
+++ b/harepick/fleet/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits and verdicts that hold for the whole fleet. `docs/design/limits.md`."""
+"""Rate limits and verdicts of the whole fleet: commands and replicated state. `docs/design/limits.md`."""
 
 from harepick.fleet.limits.shares import (
     LimitCommand,
--- a/harepick/fleet/limits/caller_buckets.py
+++ b/harepick/fleet/limits/caller_buckets.py
@@ -1,9 +1,9 @@
-"""A limit that each caller address has for itself: one instance's buckets for it. Pure: time is an argument.
+"""Token buckets by caller address, for a limit that applies to each caller. Pure: time is an argument.
 
-Each caller may spend the instance's *base* here without anybody asking for it, and what is shared out for it
-by name beside that (`policy.py`). The table is bounded, whatever addresses come: a caller that is not in it
-is taken for one that has spent nothing since the latest moment at which one that was dropped had spent
-something. That can only be too little, so that a flood of addresses lets nobody have more than its limit.
+On one instance, each caller's bucket fills at the instance's base share without a request, plus the share
+allocated to that caller by name (`policy.py`). The table of buckets is bounded. When a caller's bucket is
+dropped, a caller without a bucket is assumed to have been empty at the latest last use of any dropped bucket.
+This never overestimates its tokens, so a flood of caller addresses lets no caller exceed its limit.
 """
 
 from __future__ import annotations
@@ -16,152 +16,172 @@
 
 from harepick.fleet.limits.policy import BASE_SHARE
 
-MAX_CALLERS = 2_048  # in one limit's table; the one that called longest ago is dropped
-MAX_TOLD = 8  # callers whose demand one instance tells of one limit
-MEMORY = 1.0  # seconds over which demand is averaged
-ASKS_FROM = 0.8  # of its base: a caller with more demand is told of
-ASKS_ON = 0.4  # the same for one that holds a share by name: it must not come and go
+MAX_CALLERS = 2_048  # per limit; the least recently used bucket is dropped
+MAX_REPORTED_CALLERS = 8  # per limit, whose demand one instance reports to the leader
+RATE_AVERAGING_S = 1.0  # time constant of the exponential average of demand
+REPORT_ABOVE_BASE = 0.8  # times the base share: a caller's demand above this is reported
+KEEP_REPORTING_ABOVE_BASE = 0.4  # lower for a caller that holds a named share, so that it does not flap
 
 
 @dataclass(slots=True)
-class _Row:
-    """One caller. `credit` and `at`: when its tokens were counted last, by the two measures they grow by."""
+class _CallerBucket:
+    """One caller's token bucket.
+
+    `base_credit` (for the base share) and `refilled_at` (for a named share) tell up to when it was refilled.
+    """
 
     tokens: float
-    credit: float
-    at: float
-    rate: float = 0.0  # calls offered a second, lately, as of `called`
-    called: float = 0.0
+    base_credit: float
+    refilled_at: float
+    rate: float = 0.0  # offered calls per second, averaged, as of the last call
+    last_call_at: float = 0.0
 
 
 class CallerBuckets:
-    """Owns the table of one limit."""
+    """The buckets of all callers of one limit, on one instance."""
 
-    def __init__(self, burst_s: float, most: int = MAX_CALLERS) -> None:
-        self._burst_s, self._most = burst_s, most
-        self._base = 0.0  # tokens a second for every caller
-        self._named: dict[str, float] = {}  # caller -> tokens a second beside that
-        self._rows: OrderedDict[str, _Row] = OrderedDict()  # the one that called last is last
-        self._credit = 0.0  # tokens that the base has come to, for a caller that spends nothing
-        self._at = float("-inf")
-        self._floor = 0.0  # credit at which a caller without a row had nothing left
+    def __init__(self, burst_s: float, max_callers: int = MAX_CALLERS) -> None:
+        self._burst_s, self._max_callers = burst_s, max_callers
+        self._base = 0.0  # base share: tokens per second for every caller
+        self._named_shares: dict[str, float] = {}  # caller -> tokens per second in addition to the base
+        self._buckets: OrderedDict[str, _CallerBucket] = OrderedDict()  # least recently used first
+        self._base_credit = 0.0  # tokens that the base share has yielded in total, without any cap
+        self._base_credited_at = float("-inf")
+        self._spent_credit = 0.0  # credit at which a caller without a bucket counts as empty
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._buckets)
 
     @property
     def base(self) -> float:
+        """The base share: tokens per second that every caller gets on this instance."""
         return self._base
 
     @property
     def named(self) -> dict[str, float]:
-        """Shares held for callers by name."""
-        return dict(self._named)
+        """Shares allocated to callers by name, in tokens per second, in addition to the base."""
+        return dict(self._named_shares)
 
     def rate(self, caller: str) -> float:
-        """Tokens a second that this caller gets here."""
-        return self._base + self._named.get(caller, 0.0)
-
-    def _earned(self, now: float) -> float:
-        """The credit at `now`; it begins at 0 with the first share: what is before is not made up for."""
-        if now > self._at:
-            if self._at > float("-inf"):
-                self._credit += self._base * (now - self._at)
-            self._at = now
-        return self._credit
-
-    def _cap(self, caller: str) -> float:
-        """What a caller may save up here: an even part of the limit's burst, whoever holds shares, so that
-        one that calls seldom may call twice in a moment; and however small its share, one call."""
+        """Tokens per second that this caller gets on this instance."""
+        return self._base + self._named_shares.get(caller, 0.0)
+
+    def _advance_base_credit(self, now: float) -> float:
+        """Advances the base credit to `now` and returns it. It starts at 0 when the first share is set."""
+        if now > self._base_credited_at:
+            if self._base_credited_at > float("-inf"):
+                self._base_credit += self._base * (now - self._base_credited_at)
+            self._base_credited_at = now
+        return self._base_credit
+
+    def _capacity(self, caller: str) -> float:
+        """Most tokens that a caller may accumulate here; at least 1, however small its share.
+
+        The burst follows from the base share, not from named shares, so that an infrequent caller may place
+        two calls in quick succession.
+        """
         if self._base <= 0:
-            return 1.0 if self._named.get(caller) else 0.0
+            return 1.0 if self._named_shares.get(caller) else 0.0
         return max(1.0, self._base / BASE_SHARE * self._burst_s)
 
-    def _count(self, caller: str, row: _Row, now: float) -> None:
-        """Brings a row's tokens up to `now`."""
-        credit = self._earned(now)
-        gained = credit - row.credit + self._named.get(caller, 0.0) * max(0.0, now - row.at)
-        row.tokens = min(self._cap(caller), row.tokens + gained)
-        row.credit, row.at = credit, max(row.at, now)
-
-    def _row(self, caller: str, now: float) -> _Row:
-        row = self._rows.get(caller)
-        if row is None:
-            credit = self._earned(now)
-            row = _Row(min(self._cap(caller), credit - self._floor), credit, now)
-            self._rows[caller] = row
-            while len(self._rows) > self._most:
-                self._forget(*self._rows.popitem(last=False))
+    def _refill(self, caller: str, bucket: _CallerBucket, now: float) -> None:
+        """Refills a bucket up to `now`."""
+        credit = self._advance_base_credit(now)
+        refill = (
+            credit
+            - bucket.base_credit
+            + self._named_shares.get(caller, 0.0) * max(0.0, now - bucket.refilled_at)
+        )
+        bucket.tokens = min(self._capacity(caller), bucket.tokens + refill)
+        bucket.base_credit, bucket.refilled_at = credit, max(bucket.refilled_at, now)
+
+    def _bucket(self, caller: str, now: float) -> _CallerBucket:
+        bucket = self._buckets.get(caller)
+        if bucket is None:
+            credit = self._advance_base_credit(now)
+            bucket = _CallerBucket(min(self._capacity(caller), credit - self._spent_credit), credit, now)
+            self._buckets[caller] = bucket
+            while len(self._buckets) > self._max_callers:
+                self._forget(*self._buckets.popitem(last=False))
         else:
-            self._count(caller, row, now)
-        return row
+            self._refill(caller, bucket, now)
+        return bucket
 
-    def _forget(self, caller: str, row: _Row) -> None:
-        """Whoever comes back has had no more time to save up than since this one's last call."""
-        self._floor = max(self._floor, row.credit)
+    def _forget(self, caller: str, bucket: _CallerBucket) -> None:
+        """Drops a bucket; callers without one count as empty at least until its last refill."""
+        self._spent_credit = max(self._spent_credit, bucket.base_credit)
 
     def burst(self, burst_s: float, now: float) -> None:
-        """What may be saved up from now on."""
+        """Sets the burst, in seconds of the share, from `now` on."""
         if burst_s != self._burst_s:
             self._burst_s = burst_s
-            self._cut(now)
+            self._cap_all(now)
 
     def set(self, base: float, named: Mapping[str, float], now: float) -> None:
-        """The shares from now on; what larger ones would have saved up is not made up for."""
-        if self._at == float("-inf"):
-            self._at = now
-        changed = [c for c in named.keys() | self._named.keys() if named.get(c) != self._named.get(c)]
+        """Sets the shares from `now` on; tokens above a new, lower capacity are discarded."""
+        if self._base_credited_at == float("-inf"):
+            self._base_credited_at = now
+        changed = [
+            c for c in named.keys() | self._named_shares.keys() if named.get(c) != self._named_shares.get(c)
+        ]
         for caller in changed:
-            if row := self._rows.get(caller):
-                self._count(caller, row, now)
-        self._earned(now)
-        less, self._base = base < self._base, base
-        self._named = dict(named)
+            if bucket := self._buckets.get(caller):
+                self._refill(caller, bucket, now)
+        self._advance_base_credit(now)
+        decreased, self._base = base < self._base, base
+        self._named_shares = dict(named)
         for caller in changed:
-            if row := self._rows.get(caller):
-                row.tokens = min(row.tokens, self._cap(caller))
-        if less:
-            self._cut(now)
+            if bucket := self._buckets.get(caller):
+                bucket.tokens = min(bucket.tokens, self._capacity(caller))
+        if decreased:
+            self._cap_all(now)
 
-    def _cut(self, now: float) -> None:
-        """Nobody has saved up more than may be, whether it is in the table or not."""
-        for caller, row in self._rows.items():
-            self._count(caller, row, now)
-        self._floor = max(self._floor, self._earned(now) - self._cap(""))
+    def _cap_all(self, now: float) -> None:
+        """Discards tokens above the capacity, also for callers without a bucket."""
+        for caller, bucket in self._buckets.items():
+            self._refill(caller, bucket, now)
+        self._spent_credit = max(self._spent_credit, self._advance_base_credit(now) - self._capacity(""))
 
     def has_token(self, caller: str, now: float) -> bool:
-        """Whether a call of that caller may pass; counts as one that it offered."""
-        row = self._row(caller, now)
-        self._rows.move_to_end(caller)
-        row.rate = row.rate * exp(-max(0.0, now - row.called) / MEMORY) + 1.0 / MEMORY
-        row.called = now
-        return row.tokens >= 1.0
+        """Whether the caller has a token for a call; counts the call as offered."""
+        bucket = self._bucket(caller, now)
+        self._buckets.move_to_end(caller)
+        bucket.rate = (
+            bucket.rate * exp(-max(0.0, now - bucket.last_call_at) / RATE_AVERAGING_S)
+            + 1.0 / RATE_AVERAGING_S
+        )
+        bucket.last_call_at = now
+        return bucket.tokens >= 1.0
 
     def take_token(self, caller: str) -> None:
-        self._rows[caller].tokens -= 1.0
+        """Spends a token after `has_token` returned true."""
+        self._buckets[caller].tokens -= 1.0
 
     def return_token(self, caller: str) -> None:
-        if row := self._rows.get(caller):
-            row.tokens = min(self._cap(caller), row.tokens + 1.0)
+        """Returns the token of a call that was refused for another reason."""
+        if bucket := self._buckets.get(caller):
+            bucket.tokens = min(self._capacity(caller), bucket.tokens + 1.0)
 
     def wait(self, caller: str) -> float | None:
-        """Seconds until that caller's next token; None if none will come."""
+        """Seconds until the caller's next token; None if its share is 0."""
         rate = self.rate(caller)
-        return (1.0 - self._rows[caller].tokens) / rate if rate > 0 else None
+        return (1.0 - self._buckets[caller].tokens) / rate if rate > 0 else None
 
     def demands(self, now: float) -> dict[str, float]:
-        """Callers that want more than their base here, the greediest first, and what they offer a second."""
-        found: list[tuple[float, str]] = []
-        for caller in reversed(self._rows):
-            row = self._rows[caller]
-            if now - row.called > 3 * MEMORY:
+        """Offered calls per second of callers that want more than the base share, highest first."""
+        demanding: list[tuple[float, str]] = []
+        for caller in reversed(self._buckets):
+            bucket = self._buckets[caller]
+            if now - bucket.last_call_at > 3 * RATE_AVERAGING_S:
                 break
-            rate = row.rate * exp(-max(0.0, now - row.called) / MEMORY)
-            self._count(caller, row, now)
-            if caller in self._named:
-                wants = rate > self._base * ASKS_ON
-            else:  # one that lives on what it has saved up needs nothing
-                wants = rate > self._base * ASKS_FROM and row.tokens < self._cap(caller) / 2
-            if wants:
-                found.append((rate, caller))
-        return {caller: rate for rate, caller in nlargest(MAX_TOLD, found)}
+            rate = bucket.rate * exp(-max(0.0, now - bucket.last_call_at) / RATE_AVERAGING_S)
+            self._refill(caller, bucket, now)
+            if caller in self._named_shares:
+                wants_more = rate > self._base * KEEP_REPORTING_ABOVE_BASE
+            else:  # a caller that is served from accumulated tokens needs no named share
+                wants_more = (
+                    rate > self._base * REPORT_ABOVE_BASE and bucket.tokens < self._capacity(caller) / 2
+                )
+            if wants_more:
+                demanding.append((rate, caller))
+        return {caller: rate for rate, caller in nlargest(MAX_REPORTED_CALLERS, demanding)}
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -1,5 +1,7 @@
-"""The steward of limits and verdicts: while this instance leads it proposes splits, settles them, and lifts
-verdicts whose time is over; always, it tells its demand, and judges servers if the configuration asks for it.
+"""The manager of limits and verdicts on one instance.
+
+While this instance leads, it proposes splits of the limits, releases owed shares and lifts expired verdicts.
+On every instance it reports demand to the leader and, if configured, issues verdicts on failed servers.
 """
 
 from __future__ import annotations
@@ -25,123 +27,142 @@
 from harepick.store.replica import Replica, StoreUnavailableError, clock
 from harepick.store.state_machine import Envelope, StepApplied
 
-POLL_INTERVAL_S = 0.1  # seconds between two looks, if nothing wakes it
-MIN_PAUSE_S = 0.02
-COMMIT_TIMEOUT_S = 5.0  # for one step to be committed
-MAX_STEPS = 16  # at one look, each about another limit; the next look sees what they came to
-VERDICT_REPEAT_S = 1.0  # seconds between two verdicts of this instance on one server
+POLL_INTERVAL_S = 0.1  # between two evaluations, unless the store changes
+MIN_PAUSE_S = 0.02  # between two evaluations in any case
+COMMIT_TIMEOUT_S = 5.0  # for one command to be committed
+MAX_STEPS = 16  # commands per evaluation, each for another limit; the next evaluation sees their results
+VERDICT_REPEAT_S = 1.0  # between two verdicts of this instance on the same server
 
 
 @dataclass(frozen=True, slots=True)
 class LimitInputs:
-    """What the front knows, at one moment."""
+    """Configuration and local state that the manager evaluates, at one moment."""
 
     revision: int
     limits: tuple[Limit, ...]
-    plan: VerdictSettings
-    avoided: frozenset[str]  # servers that the module avoids now, by name
-    longest: float  # seconds that a call may be under way
-    auto: AutoGapSettings | None = None  # gaps that set themselves
-    spared: frozenset[str] = frozenset()  # numbers that have a gap of the operators'
+    verdict_settings: VerdictSettings
+    avoided: frozenset[str]  # servers that overload control avoids on this instance, by name
+    longest_call_s: float  # longest duration of a call attempt
+    auto_gaps: AutoGapSettings | None = None  # None: no automatic gaps
+    configured_numbers: frozenset[str] = frozenset()  # they have a configured gap, and get no automatic one
 
 
 class LimitManager:
+    """Evaluates the policy of limits and verdicts periodically and proposes its commands."""
+
     def __init__(
         self,
         replica: Replica,
-        purse: LimitBuckets,
-        facts: Callable[[], LimitInputs | None],
+        buckets: LimitBuckets,
+        inputs: Callable[[], LimitInputs | None],
         counters: Counters,
         log: Log,
-        told: Callable[[IssueVerdict], None] = lambda judge: None,
+        on_verdict: Callable[[IssueVerdict], None] = lambda verdict: None,
     ) -> None:
-        """`facts` gives None as long as there is no configuration; `told` hears of each verdict before it is
-        proposed."""
-        self._replica, self._purse, self._facts = replica, purse, facts
-        self._counters, self._log, self._told = counters, log, told
-        self._me = replica.settings.replica
-        self._watch = AvoidanceTracker()  # of servers that are avoided here
-        self._judged: dict[str, float] = {}  # server -> when this instance judged it last
-        self._seen: dict[tuple[int, int], float] = {}  # verdict and its version -> when first seen leading
-        self._resting: dict[tuple[str, int], float] = {}  # limit and entry -> since when nobody waits for it
-        self._auto = AutoGaps()
-        self.detector: Detector | None = None  # while gaps set themselves
+        """`inputs` returns None while there is no configuration; `on_verdict` is called with each
+        verdict before it is proposed."""
+        self._replica, self._buckets, self._inputs = replica, buckets, inputs
+        self._counters, self._log, self._on_verdict = counters, log, on_verdict
+        self._name = replica.settings.replica
+        self._avoidance = AvoidanceTracker()
+        self._last_verdict_at: dict[str, float] = {}  # server -> time of the last verdict on it
+        self._first_seen: dict[tuple[int, int], float] = {}  # by verdict and version, while leading
+        self._confirmed_since: dict[tuple[str, int], float] = {}  # by limit and log index
+        self._auto_gaps = AutoGaps()
+        self.detector: Detector | None = None  # set while automatic gaps are enabled
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Runs until cancelled."""
         while True:
-            self._judge()
+            self._judge_servers()
             now = clock()
-            self._replica.node.demand = self._purse.demands(now) | self._heavy() | self._watch.rows(now)
-            await self._turn()
+            self._replica.node.demand = (
+                self._buckets.demands(now) | self._number_rates() | self._avoidance.rows(now)
+            )
+            await self._evaluate()
             await anyio.sleep(MIN_PAUSE_S)
             await self._replica.wait_for_change(POLL_INTERVAL_S)
 
-    async def _turn(self) -> None:
-        facts, leases = self._facts(), self._replica.leases()
-        if facts is None or leases is None:
-            self._seen.clear()
-            self._resting.clear()
-            self._auto = AutoGaps()
+    async def _evaluate(self) -> None:
+        inputs, leases = self._inputs(), self._replica.leases()
+        if inputs is None or leases is None:
+            self._first_seen.clear()
+            self._confirmed_since.clear()
+            self._auto_gaps = AutoGaps()
             return
-        machine = self._replica.node.state_machine
+        state_machine = self._replica.node.state_machine
         live, waits = leases
         members = frozenset(m.id for m in self._replica.node.raft.membership.members)
-        sight = FleetState(
-            name=self._me,
-            revision=facts.revision,
-            live=live & members - machine.orders.given_up(),
+        fleet_state = FleetState(
+            name=self._name,
+            revision=inputs.revision,
+            live=live & members - state_machine.orders.given_up(),
             demands=self._replica.demands(),
             waits=waits,
-            whole=frozenset(limit.id for limit in facts.limits if limit.server),
-            rested=lambda limit, index: self._rested(limit, index, facts),
+            whole=frozenset(limit.id for limit in inputs.limits if limit.server),
+            rested=lambda limit, index: self._calls_ended(limit, index, inputs),
         )
-        limits = {limit.id: limit.per_s for limit in facts.limits}
-        each = frozenset(limit.id for limit in facts.limits if limit.each)
-        due = budgets(limits, each, machine.shares, sight.demands)
-        over = self._over()  # never behind the splits: there may be some to make all the time
+        limits = {limit.id: limit.per_s for limit in inputs.limits}
+        each = frozenset(limit.id for limit in inputs.limits if limit.each)
+        limit_budgets = budgets(limits, each, state_machine.shares, fleet_state.demands)
+        # Proposed before the splits, of which some may be due at every evaluation.
+        expired = self._lift_expired()
         async with anyio.create_task_group() as tasks:
-            for judge in self._gaps_due(facts):  # none waits for its answer: it comes when all honour it
-                self._replica.change_nowait(Envelope("", 0, judge))
-            for step in ([over] if over else []) + steps(machine.shares, due, sight)[:MAX_STEPS]:
+            # Without waiting: the answer comes only once all instances apply the verdict.
+            for verdict in self._gaps_due(inputs):
+                self._replica.change_nowait(Envelope("", 0, verdict))
+            for step in ([expired] if expired else []) + steps(
+                state_machine.shares, limit_budgets, fleet_state
+            )[:MAX_STEPS]:
                 tasks.start_soon(self._propose, step)
 
-    def _heavy(self) -> dict[str, float]:
-        """Numbers that are called much here, as the leader hears of them."""
-        facts = self._facts()
-        if self.detector is None or facts is None or facts.auto is None:
+    def _number_rates(self) -> dict[str, float]:
+        """Call rates of frequently called numbers on this instance, as reported to the leader."""
+        inputs = self._inputs()
+        if self.detector is None or inputs is None or inputs.auto_gaps is None:
             return {}
-        found: dict[str, float] = {}
-        # A tenth here: the fleet may have many instances, and a gap that holds is eased by what is told.
-        for number, (offered, bad) in self.detector.heaviest(clock(), facts.auto.per_s / 10).items():
-            found |= {number: offered, failed_rate_key(number): bad}
-        return found
-
-    def _gaps_due(self, facts: LimitInputs) -> list[IssueVerdict]:
-        """Gaps that set themselves, to begin or to go on."""
-        if facts.auto is None:
+        rates: dict[str, float] = {}
+        # A tenth of the limit: the fleet's calls may spread over many instances, and an existing
+        # gap is relaxed according to the reported rates.
+        for number, (offered, failed) in self.detector.heaviest(clock(), inputs.auto_gaps.per_s / 10).items():
+            rates |= {number: offered, failed_rate_key(number): failed}
+        return rates
+
+    def _gaps_due(self, inputs: LimitInputs) -> list[IssueVerdict]:
+        """Verdicts that set or renew automatic gaps."""
+        if inputs.auto_gaps is None:
             return []
-        holding = self._replica.node.state_machine.verdicts.gapped()
+        gapped_numbers = self._replica.node.state_machine.verdicts.gapped()
         rates = sum_call_rates(self._replica.demands())
-        found = []
-        for want in self._auto.decide(facts.auto, rates, holding, facts.spared, clock()):
-            known = want.number in holding
-            event = "autogap" if facts.auto.act else "autogap_proposed"
-            self._log.event(event, number=want.number, interval=want.interval, why=want.why, known=known)
+        due = []
+        for proposal in self._auto_gaps.decide(
+            inputs.auto_gaps, rates, gapped_numbers, inputs.configured_numbers, clock()
+        ):
+            known = proposal.number in gapped_numbers
+            event = "autogap" if inputs.auto_gaps.act else "autogap_proposed"
+            self._log.event(
+                event, number=proposal.number, interval=proposal.interval, why=proposal.why, known=known
+            )
             self._counters.add("gaps.renewed" if known else "gaps.detected")
-            judge = IssueVerdict(
-                GAPPED, want.number, self._me, want.evidence, facts.auto.ttl, want.why, want.interval
+            verdict = IssueVerdict(
+                GAPPED,
+                proposal.number,
+                self._name,
+                proposal.evidence,
+                inputs.auto_gaps.ttl,
+                proposal.why,
+                proposal.interval,
             )
-            if facts.auto.act:
-                self._told(judge)
-                found.append(judge)
-        return found
+            if inputs.auto_gaps.act:
+                self._on_verdict(verdict)
+                due.append(verdict)
+        return due
 
     async def _propose(self, step: LimitCommand | LiftVerdict) -> None:
         try:
             answer = await self._replica.change(Envelope("", 0, step), COMMIT_TIMEOUT_S)
         except (NotLeaderError, BusyError, StoreUnavailableError):
-            self._counters.add("limits.not_proposed")  # another leads, or comes to
+            self._counters.add("limits.not_proposed")  # another instance leads, or is about to
             return
         if not isinstance(answer, StepApplied):
             self._counters.add("limits.refused_steps")
@@ -153,56 +174,68 @@
         elif isinstance(step, LiftVerdict):
             self._counters.add("limits.lifts")
 
-    def _rested(self, limit: str, index: int, facts: LimitInputs) -> bool:
-        """Calls under way when a share was taken end within their deadline; a clock may be fast."""
-        if not any(known.id == limit and known.server for known in facts.limits):
+    def _calls_ended(self, limit: str, index: int, inputs: LimitInputs) -> bool:
+        """Whether calls that were in progress when a share was reduced have ended.
+
+        They end within `longest_call_s`; the margin covers a fast clock. Always true for a rate limit.
+        """
+        if not any(known.id == limit and known.server for known in inputs.limits):
             return True
-        since = self._resting.setdefault((limit, index), clock())
-        while len(self._resting) > MAX_LIMITS:
-            del self._resting[next(iter(self._resting))]
-        return clock() - since >= facts.longest * CLOCK_RATE_MARGIN
+        since = self._confirmed_since.setdefault((limit, index), clock())
+        while len(self._confirmed_since) > MAX_LIMITS:
+            del self._confirmed_since[next(iter(self._confirmed_since))]
+        return clock() - since >= inputs.longest_call_s * CLOCK_RATE_MARGIN
 
-    def _over(self) -> LiftVerdict | None:
-        """The next verdict whose time is over, counted from when this leader first saw it."""
+    def _lift_expired(self) -> LiftVerdict | None:
+        """The command that lifts the next expired verdict, by the time since this leader first saw it."""
         now = clock()
         held = self._replica.node.state_machine.verdicts.all
-        self._seen = {(v.id, v.version): self._seen.get((v.id, v.version), now) for v in held}
+        self._first_seen = {(v.id, v.version): self._first_seen.get((v.id, v.version), now) for v in held}
         for verdict in held:
-            if now - self._seen[verdict.id, verdict.version] >= verdict.ttl:
-                return LiftVerdict(verdict.id, f"{self._me}: its time is over")
+            if now - self._first_seen[verdict.id, verdict.version] >= verdict.ttl:
+                return LiftVerdict(verdict.id, f"{self._name}: its time is over")
         return None
 
-    def _judge(self) -> None:
-        """A server that the module here has avoided for so long has failed, for all."""
-        facts, now = self._facts(), clock()
-        self._watch.update(facts.avoided if facts else frozenset(), now)
-        if facts is None or facts.plan.failed_after <= 0 or not self._replica.may_act():
+    def _judge_servers(self) -> None:
+        """Issues a verdict on each server that this instance has avoided for `failed_after` seconds."""
+        inputs, now = self._inputs(), clock()
+        self._avoidance.update(inputs.avoided if inputs else frozenset(), now)
+        if inputs is None or inputs.verdict_settings.failed_after <= 0 or not self._replica.may_act():
             return
-        for name, long in self._watch.spans(now).items():
-            last = self._judged.get(name, float("-inf"))
-            if long >= facts.plan.failed_after and now - last >= min(VERDICT_REPEAT_S, facts.plan.ttl / 2):
-                self._judged[name] = now
+        for name, avoided_s in self._avoidance.spans(now).items():
+            last_verdict_at = self._last_verdict_at.get(name, float("-inf"))
+            if avoided_s >= inputs.verdict_settings.failed_after and now - last_verdict_at >= min(
+                VERDICT_REPEAT_S, inputs.verdict_settings.ttl / 2
+            ):
+                self._last_verdict_at[name] = now
                 self._counters.add("limits.judged")
-                judge = IssueVerdict(
-                    FAILED, name, self._me, long, facts.plan.ttl, f"avoided for {long:.1f} s"
+                verdict = IssueVerdict(
+                    FAILED,
+                    name,
+                    self._name,
+                    avoided_s,
+                    inputs.verdict_settings.ttl,
+                    f"avoided for {avoided_s:.1f} s",
                 )
-                self._told(judge)
-                self._replica.change_nowait(Envelope("", 0, judge))
+                self._on_verdict(verdict)
+                self._replica.change_nowait(Envelope("", 0, verdict))
 
-    # What can be seen
+    # Status
 
     def status(self) -> dict[str, Any]:
-        """Limits and verdicts as last applied here, with what this instance spent of them."""
-        machine = self._replica.node.state_machine
-        facts = self._facts()
+        """Limits and verdicts as last applied here, with the call counts of this instance."""
+        state_machine = self._replica.node.state_machine
+        inputs = self._inputs()
         demands: Mapping[str, Mapping[str, float]] = self._replica.demands() if self._leads() else {}
-        here = self._purse.statistics()
+        here = self._buckets.statistics()
         limits = []
-        for limit in facts.limits if facts else ():
-            holding = machine.shares.get(caller_limit_key(limit.id, ALL_CALLERS) if limit.each else limit.id)
-            named = {
-                key.partition("@")[2]: known.shares
-                for key, known in machine.shares.limits.items()
+        for limit in inputs.limits if inputs else ():
+            allocation = state_machine.shares.get(
+                caller_limit_key(limit.id, ALL_CALLERS) if limit.each else limit.id
+            )
+            caller_shares = {
+                key.partition("@")[2]: allocation_of_caller.shares
+                for key, allocation_of_caller in state_machine.shares.limits.items()
                 if limit.each
                 and key.startswith(f"{limit.id}@")
                 and key != caller_limit_key(limit.id, ALL_CALLERS)
@@ -213,12 +246,12 @@
                     "per_s": limit.per_s,
                     "server": limit.server,
                     "each": "caller" if limit.each else "",
-                    "callers": named,
+                    "callers": caller_shares,
                     "burst_s": limit.burst_s,
                     "reason": limit.reason,
-                    "shares": holding.shares,
-                    "owed": holding.owed,
-                    "free": holding.free if holding.budget else limit.per_s,
+                    "shares": allocation.shares,
+                    "owed": allocation.owed,
+                    "free": allocation.free if allocation.budget else limit.per_s,
                     "demand": {name: round(row.get(limit.id, 0.0), 3) for name, row in demands.items()},
                     "here": here.get(limit.id, {}),
                 }
@@ -235,14 +268,15 @@
                 "value": v.value,
                 "version": v.version,
             }
-            for v in machine.verdicts.all
+            for v in state_machine.verdicts.all
         ]
         return {
-            "instance": self._me,
+            "instance": self._name,
             "current": self._replica.may_act(),
             "limits": limits,
             "verdicts": verdicts,
         }
 
     def _leads(self) -> bool:
+        """Whether this instance leads and knows who holds a lease."""
         return self._replica.leases() is not None
--- a/harepick/fleet/limits/operator_api.py
+++ b/harepick/fleet/limits/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of limits and verdicts, as methods of the tools' port (`docs/protocol/operators.md`)."""
+"""Methods of the tools' port for limits and verdicts (`docs/protocol/operators.md`)."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 from harepick.fleet.limits.manager import LimitManager
 from harepick.fleet.limits.settings import network
-from harepick.fleet.limits.verdicts import BLOCKED, FAILED, MAX_TTL, OVERLOADED, IssueVerdict, LiftVerdict
+from harepick.fleet.limits.verdicts import BLOCKED, FAILED, MAX_TTL_S, OVERLOADED, IssueVerdict, LiftVerdict
 from harepick.settings import SettingsError
 from harepick.store.operator_api import BadRequestError, OutcomeError, argument_number, argument_text
 from harepick.store.replica import Replica
 from harepick.store.state_machine import Done, Envelope, Refused, StepApplied
 
-ASKED = (FAILED, OVERLOADED, BLOCKED)
+OPERATOR_KINDS = (FAILED, OVERLOADED, BLOCKED)  # kinds of verdicts that operators issue
 Answer = Callable[[dict[str, Any], float], Awaitable[Any]]
 
 
 class LimitApi:
-    """`methods` go beside those of the store."""
+    """Lists limits and verdicts, and issues and lifts verdicts; `methods` are added to those of the store."""
 
     def __init__(
-        self, replica: Replica, steward: LimitManager, servers: Callable[[], frozenset[str]]
+        self, replica: Replica, manager: LimitManager, servers: Callable[[], frozenset[str]]
     ) -> None:
-        self._replica, self._steward, self._servers = replica, steward, servers
+        """`servers` returns the names of all configured servers."""
+        self._replica, self._manager, self._servers = replica, manager, servers
         self.methods: dict[str, Answer] = {
             "limit_list": self.list,
             "verdict_judge": self.judge,
@@ -31,16 +32,19 @@
         }
 
     async def list(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        """From the leader, which knows the demand; with `stale`, from whoever is asked."""
+        """Limits and verdicts, read from the leader, which knows the demand; with `stale`, as known here."""
         if not arguments.get("stale"):
             await self._replica.read(wait)
-        return self._steward.status()
+        return self._manager.status()
 
     async def judge(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        """Answered once all that may act honour the verdict."""
+        """Issues a verdict; answers once every instance that may act applies it.
+
+        Raises `BadRequestError`, and `OutcomeError` if the server is unknown or the command is refused.
+        """
         kind, subject = argument_text(arguments, "kind"), argument_text(arguments, "subject")
-        if kind not in ASKED:  # a number is gapped by `gap set`
-            raise BadRequestError(f"argument kind is none of {', '.join(ASKED)}: {kind!r}")
+        if kind not in OPERATOR_KINDS:  # `gapped` is left out: operators gap a number by `gap set`
+            raise BadRequestError(f"argument kind is none of {', '.join(OPERATOR_KINDS)}: {kind!r}")
         await self._replica.read(wait)
         if kind == BLOCKED:
             try:
@@ -50,9 +54,9 @@
         elif subject not in self._servers():
             raise OutcomeError("no_machine", f"no server {subject!r}")
         ttl = arguments.get("ttl", 60.0)
-        if isinstance(ttl, bool) or not isinstance(ttl, int | float) or not 0 < ttl <= MAX_TTL:
-            raise BadRequestError(f"argument ttl is not up to {MAX_TTL:g} s: {ttl!r}")
-        judge = IssueVerdict(
+        if isinstance(ttl, bool) or not isinstance(ttl, int | float) or not 0 < ttl <= MAX_TTL_S:
+            raise BadRequestError(f"argument ttl is not up to {MAX_TTL_S:g} s: {ttl!r}")
+        command = IssueVerdict(
             kind,
             subject,
             argument_text(arguments, "by", ""),
@@ -60,21 +64,22 @@
             float(ttl),
             argument_text(arguments, "why", ""),
         )
-        return await self._change(arguments, judge, wait)
+        return await self._change(arguments, command, wait)
 
     async def lift(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        body = LiftVerdict(argument_number(arguments, "verdict"), argument_text(arguments, "by", ""))
-        return await self._change(arguments, body, wait)
+        """Ends a verdict. Raises `OutcomeError` if it does not exist."""
+        command = LiftVerdict(argument_number(arguments, "verdict"), argument_text(arguments, "by", ""))
+        return await self._change(arguments, command, wait)
 
     async def _change(
-        self, arguments: dict[str, Any], body: IssueVerdict | LiftVerdict, wait: float
+        self, arguments: dict[str, Any], command: IssueVerdict | LiftVerdict, wait: float
     ) -> dict[str, Any]:
         session, number = argument_text(arguments, "session", ""), argument_number(arguments, "number", 0)
-        match await self._replica.change(Envelope(session, number, body), wait):
+        match await self._replica.change(Envelope(session, number, command), wait):
             case Done(verdict, _):
                 return {"verdict": verdict}
             case StepApplied(_):
-                return {"verdict": body.verdict if isinstance(body, LiftVerdict) else 0}
+                return {"verdict": command.verdict if isinstance(command, LiftVerdict) else 0}
             case Refused(text):
                 raise OutcomeError("refused", text)
         raise OutcomeError("lost", "the leader has gone; whether it took effect is not known: ask again")
--- a/harepick/fleet/limits/screen.py
+++ b/harepick/fleet/limits/screen.py
@@ -1,6 +1,6 @@
-"""What the core asks before a call is booked: verdicts on its caller, limits, then the gaps if there are any.
+"""Admission check of a new call: verdicts on its caller, then limits, then gaps.
 
-A call that a gap refuses takes no token of a limit, and one that a limit refuses takes no turn of a gap.
+A call that a gap refuses takes no token of a limit, and a call that a limit refuses takes no slot of a gap.
 """
 
 from __future__ import annotations
@@ -13,27 +13,30 @@
 
 
 class FleetScreen:
-    """`harepick.core.messages.Screen`; one task uses it, the core's."""
+    """Implements `harepick.core.messages.Screen`; used by the core's task alone."""
 
     def __init__(
         self,
-        purse: LimitBuckets,
+        buckets: LimitBuckets,
         clock: Callable[[], float],
-        admitted: Callable[[str], None],
-        passed: Callable[[str, float], None] = lambda called, now: None,
+        on_admitted: Callable[[str], None],
+        on_passed: Callable[[str, float], None] = lambda called, now: None,
     ) -> None:
-        """`clock`: seconds of which the rate counts; `admitted` hears of each limit that a call counted
-        against, `passed` of each number that passed the gaps, and when."""
-        self.buckets = purse
+        """`clock` gives the time for token buckets, in seconds. `on_admitted` is called with the key of each
+        limit that an admitted call counts against; `on_passed` with each number that passes the gaps, and the
+        time.
+        """
+        self.buckets = buckets
         self.gaps: Screen | None = None
-        self.blocked: tuple[str, ...] = ()  # networks of callers under a verdict
-        self.turned_away = 0  # calls of theirs
-        self.detector: Detector | None = None  # of numbers that want a gap, where gaps set themselves
-        self._clock, self._admitted, self._passed = clock, admitted, passed
+        self.blocked: tuple[str, ...] = ()  # networks of callers blocked by a verdict
+        self.blocked_calls = 0  # count since the start
+        self.detector: Detector | None = None  # detects numbers for automatic gaps, if they are enabled
+        self._clock, self._on_admitted, self._on_passed = clock, on_admitted, on_passed
 
     def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+        """None if the call is admitted, or else its Retry-After in seconds."""
         if self.blocked and in_networks(source, self.blocked):
-            self.turned_away += 1
+            self.blocked_calls += 1
             return DEFAULT_RETRY_S
         if self.detector is not None:
             self.detector.offered(called, self._clock())
@@ -46,11 +49,12 @@
             if (wait := self.gaps.retry_after(called, class_name, now, source)) is not None:
                 self.buckets.return_tokens(names)
                 return wait
-            self._passed(called, now)
+            self._on_passed(called, now)
         for name in names:
-            self._admitted(name)
+            self._on_admitted(name)
         return None
 
     def ended(self, called: str, good: bool) -> None:
+        """Reports the outcome of a call to the detector."""
         if self.detector is not None:
             self.detector.ended(called, good, self._clock())
--- a/harepick/fleet/limits/shares.py
+++ b/harepick/fleet/limits/shares.py
@@ -1,7 +1,7 @@
-"""Who holds how much of each limit: replicated, pure, and the one place where the budget is kept.
+"""The allocation of each limit to instances: replicated, pure, and the one place that enforces the budgets.
 
-For each instance a ceiling is counted: its share, and what was taken from it that it may still spend
-(`owed`). The ceilings of a limit never sum to more than its budget, whatever is proposed.
+Each instance has a ceiling: its share, plus what was taken from it and it may still spend (`owed`). The
+ceilings of a limit never add up to more than its budget, whatever is proposed.
 """
 
 from __future__ import annotations
@@ -10,23 +10,25 @@
 
 MAX_LIMITS = 256
 MAX_HOLDERS = 64
-GRAIN = 1e-9  # of a budget: what rounding may add up to
+ROUNDING_MARGIN = 1e-9  # part of a budget by which rounding errors may exceed it
 
 
 class Split(Struct, frozen=True, tag="split"):
-    """The shares of a limit from now on; who is not named holds nothing. Guarded by the limit's version and
-    the revision of the configuration that the budget is from."""
+    """Sets the shares of a limit; an instance that is not named has none.
+
+    Refused unless `expect` is the version of the limit and `revision` that of the configuration.
+    """
 
     limit: str
-    budget: float  # a second
-    shares: dict[str, float]
+    budget: float  # calls per second, or concurrent calls
+    shares: dict[str, float]  # by instance
     expect: int
     revision: int
     by: str = ""
 
 
 class ReleaseOwed(Struct, frozen=True, tag="settle"):
-    """What was taken away up to entry `index` can't be spent any more: it is free."""
+    """Frees the owed shares of a limit: no instance can spend them any more."""
 
     limit: str
     expect: int
@@ -37,36 +39,37 @@
 
 
 class LimitAllocation(Struct):
-    """One limit."""
+    """The allocation of one limit to instances."""
 
     budget: float = 0.0
     shares: dict[str, float] = field(default_factory=dict)
     owed: dict[str, float] = field(default_factory=dict)
-    index: int = 0  # the entry that took away last
+    index: int = 0  # log index of the last entry that reduced a share
     version: int = 0
 
     def ceiling(self, instance: str) -> float:
+        """The most that an instance may spend: its share, and what it may not know to have lost."""
         return self.shares.get(instance, 0.0) + self.owed.get(instance, 0.0)
 
     @property
     def free(self) -> float:
-        """What nobody may spend."""
+        """The part of the budget that no instance may spend."""
         return max(0.0, self.budget - sum(self.shares.values()) - sum(self.owed.values()))
 
 
 class SharesState(Struct):
-    """All that a snapshot holds."""
+    """The allocations as written to a snapshot."""
 
     version: int = 0
     limits: dict[str, LimitAllocation] = field(default_factory=dict)
 
 
 class RefusedSplitError(ValueError):
-    """A command that changes nothing; the text says why."""
+    """A command was refused and changed nothing; the text is the reason."""
 
 
 class Shares:
-    """Owns the shares of all limits; `apply` is the one way to change them."""
+    """The allocations of all limits; only `apply` changes them."""
 
     def __init__(self, state: SharesState | None = None) -> None:
         state = state or SharesState()
@@ -74,58 +77,64 @@
         self._limits = dict(state.limits)
 
     def dump(self) -> SharesState:
+        """The state for a snapshot."""
         return SharesState(self.version, dict(self._limits))
 
     def __contains__(self, limit: str) -> bool:
         return limit in self._limits
 
     def get(self, limit: str) -> LimitAllocation:
-        """A copy of none if nobody holds anything of it: then all of it is free."""
+        """The allocation of a limit; an empty one if no instance holds a share of it."""
         return self._limits.get(limit) or LimitAllocation()
 
     @property
     def limits(self) -> dict[str, LimitAllocation]:
+        """A copy of the allocations, by key."""
         return dict(self._limits)
 
     def share(self, limit: str, instance: str) -> float:
-        known = self._limits.get(limit)
-        return known.shares.get(instance, 0.0) if known else 0.0
+        """An instance's share of a limit, 0 if it has none."""
+        allocation = self._limits.get(limit)
+        return allocation.shares.get(instance, 0.0) if allocation else 0.0
 
     def apply(self, index: int, command: LimitCommand) -> None:
-        """Raises `RefusedSplitError`, changing nothing."""
-        known = self.get(command.limit)
-        if command.expect != known.version:
+        """Applies the command of log entry `index`. Raises `RefusedSplitError`, changing nothing."""
+        allocation = self.get(command.limit)
+        if command.expect != allocation.version:
             raise RefusedSplitError(
-                f"decided on version {command.expect} of limit {command.limit}, and it is {known.version}"
+                f"decided on version {command.expect} of limit {command.limit}, "
+                f"and it is {allocation.version}"
             )
         if isinstance(command, ReleaseOwed):
-            self._put(command.limit, known.budget, known.shares, {}, known.index)
+            self._put(command.limit, allocation.budget, allocation.shares, {}, allocation.index)
         else:
-            self._split(index, known, command)
+            self._split(index, allocation, command)
 
-    def _split(self, index: int, known: LimitAllocation, split: Split) -> None:
+    def _split(self, index: int, allocation: LimitAllocation, split: Split) -> None:
         if split.limit not in self._limits and len(self._limits) >= MAX_LIMITS:
             raise RefusedSplitError(f"{MAX_LIMITS} limits are shared at most")
-        if len(split.shares) > MAX_HOLDERS or any(not 0 <= s < float("inf") for s in split.shares.values()):
+        if len(split.shares) > MAX_HOLDERS or any(
+            not 0 <= value < float("inf") for value in split.shares.values()
+        ):
             raise RefusedSplitError("shares that make no sense")
-        names = known.shares.keys() | known.owed.keys() | split.shares.keys()
+        instances = allocation.shares.keys() | allocation.owed.keys() | split.shares.keys()
         owed: dict[str, float] = {}
-        total = grown = 0.0
-        taken = False
-        for name in names:
-            share, before = split.shares.get(name, 0.0), known.ceiling(name)
-            ceiling = max(share, before)  # it may not know yet that it has less
-            taken = taken or share < known.shares.get(name, 0.0)
-            grown += ceiling - before
+        total = growth = 0.0
+        reduced = False
+        for instance in instances:
+            share, previous_ceiling = split.shares.get(instance, 0.0), allocation.ceiling(instance)
+            ceiling = max(share, previous_ceiling)  # the instance may not know of the reduction yet
+            reduced = reduced or share < allocation.shares.get(instance, 0.0)
+            growth += ceiling - previous_ceiling
             total += ceiling
             if ceiling > share:
-                owed[name] = ceiling - share
-        if grown > 0 and total > split.budget * (1 + GRAIN):
+                owed[instance] = ceiling - share
+        if growth > 0 and total > split.budget * (1 + ROUNDING_MARGIN):
             raise RefusedSplitError(
                 f"limit {split.limit}: {total:g} could be spent a second, and {split.budget:g} may be"
             )
-        shares = {name: share for name, share in split.shares.items() if share > 0}
-        self._put(split.limit, split.budget, shares, owed, index if taken else known.index)
+        shares = {instance: share for instance, share in split.shares.items() if share > 0}
+        self._put(split.limit, split.budget, shares, owed, index if reduced else allocation.index)
 
     def _put(
         self, limit: str, budget: float, shares: dict[str, float], owed: dict[str, float], index: int
@@ -133,6 +142,6 @@
         self.version += 1
         version = self.get(limit).version + 1
         if budget == 0.0 and not shares and not owed:
-            self._limits.pop(limit, None)  # a limit that is lifted; its next life begins at version 0
+            self._limits.pop(limit, None)  # the limit was removed; if it is set again, it starts at version 0
         else:
             self._limits[limit] = LimitAllocation(budget, dict(shares), dict(owed), index, version)
--- a/harepick/fleet/limits/verdicts.py
+++ b/harepick/fleet/limits/verdicts.py
@@ -1,7 +1,7 @@
-"""Verdicts: what one controller found out and all honour until it ends. Replicated, pure.
+"""Verdicts: findings of one instance that all instances apply until they end. Replicated, pure.
 
-Nothing here depends on a clock: a verdict has a time to live, and whoever leads lifts it when that is over by
-its own monotonic clock.
+Nothing here depends on a clock: a verdict has a time to live, and the leader lifts it when that has elapsed
+by the leader's monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,26 +9,26 @@
 from msgspec import Struct, field
 
 FAILED, OVERLOADED, BLOCKED, GAPPED = "failed", "overloaded", "blocked", "gapped"
-KINDS = (FAILED, OVERLOADED, BLOCKED, GAPPED)  # of a server, a server, a caller's network, a number called
-MOST = 1_024  # verdicts that hold at once
-MAX_TTL = 86_400.0
-MAX_TEXT = 500
+KINDS = (FAILED, OVERLOADED, BLOCKED, GAPPED)  # of a server, a server, a network of callers, a called number
+MAX_VERDICTS = 1_024  # in force at once
+MAX_TTL_S = 86_400.0
+MAX_REASON_LENGTH = 500  # characters of a verdict's reason
 
 
 class IssueVerdict(Struct, frozen=True, tag="judge"):
-    """A verdict by `origin`, from what it saw in the last `evidence` seconds; holds for `ttl` seconds."""
+    """Issues or renews a verdict of `origin` for `ttl` seconds, based on the last `evidence` seconds."""
 
     kind: str
-    subject: str  # a server's name, or a network of caller addresses
+    subject: str  # a server's name, a network of caller addresses, or a called number
     origin: str
     evidence: float
     ttl: float
     why: str = ""
-    value: float = 0.0  # of `gapped`: the interval, in seconds
+    value: float = 0.0  # interval of a `gapped` verdict, in seconds
 
 
 class LiftVerdict(Struct, frozen=True, tag="lift"):
-    """A verdict's end: its time is over, or an operator says so."""
+    """Ends a verdict: it has expired, or an operator lifts it."""
 
     verdict: int
     by: str = ""
@@ -38,6 +38,8 @@
 
 
 class Verdict(Struct, frozen=True):
+    """A verdict in force; `evidence` and `ttl` in seconds."""
+
     id: int
     kind: str
     subject: str
@@ -45,45 +47,55 @@
     evidence: float
     ttl: float
     why: str
-    version: int  # of the list, when it came in or was renewed last
-    index: int
+    version: int  # of the list, when it was issued or last renewed
+    index: int  # of that log entry
     value: float = 0.0
 
 
 class VerdictsState(Struct):
+    """The verdicts as written to a snapshot."""
+
     version: int = 0
-    last: int = 0
+    last: int = 0  # id given out last
     verdicts: list[Verdict] = field(default_factory=list)
 
 
 class Verdicts:
-    """Owns the list; `apply` is the one way to change it."""
+    """The list of verdicts in force; only `apply` changes it."""
 
     def __init__(self, state: VerdictsState | None = None) -> None:
         state = state or VerdictsState()
-        self.version, self._last = state.version, state.last
+        self.version, self._last_id = state.version, state.last
         self._verdicts = {verdict.id: verdict for verdict in state.verdicts}
 
     def dump(self) -> VerdictsState:
-        return VerdictsState(self.version, self._last, list(self._verdicts.values()))
+        """The state for a snapshot."""
+        return VerdictsState(self.version, self._last_id, list(self._verdicts.values()))
 
     @property
     def all(self) -> list[Verdict]:
-        """In the order in which they came."""
+        """In the order in which they were issued."""
         return list(self._verdicts.values())
 
-    def get(self, number: int) -> Verdict | None:
-        return self._verdicts.get(number)
+    def get(self, verdict_id: int) -> Verdict | None:
+        """The verdict with that id, or None if it is not in force."""
+        return self._verdicts.get(verdict_id)
 
     def subjects(self, *kinds: str) -> frozenset[str]:
-        return frozenset(v.subject for v in self._verdicts.values() if v.kind in kinds)
+        """Subjects of the verdicts of these kinds."""
+        return frozenset(verdict.subject for verdict in self._verdicts.values() if verdict.kind in kinds)
 
     def gapped(self) -> dict[str, float]:
-        """Numbers that a verdict gaps, with the interval."""
-        return {v.subject: v.value for v in self._verdicts.values() if v.kind == GAPPED}
+        """Called numbers that a verdict gaps, with the interval in seconds."""
+        return {
+            verdict.subject: verdict.value for verdict in self._verdicts.values() if verdict.kind == GAPPED
+        }
 
     def apply(self, index: int, command: VerdictCommand) -> tuple[int, str]:
-        """The verdict's number, or 0 and why nothing was changed."""
+        """Applies the command of log entry `index`.
+
+        Returns the verdict's id and an empty text, or 0 and the reason why nothing was changed.
+        """
         if isinstance(command, LiftVerdict):
             if self._verdicts.pop(command.verdict, None) is None:
                 return 0, f"no verdict {command.verdict} holds"
@@ -91,26 +103,29 @@
             return command.verdict, ""
         if command.kind not in KINDS or not command.subject:
             return 0, f"no kind of verdict: {command.kind!r}"
-        if not 0 < command.ttl <= MAX_TTL:
-            return 0, f"a verdict holds for up to {MAX_TTL:g} s: {command.ttl!r}"
-        same = (command.kind, command.subject)
-        known = next((v for v in self._verdicts.values() if (v.kind, v.subject) == same), None)
-        if known is None and len(self._verdicts) >= MOST:
-            return 0, f"{MOST} verdicts hold: lift some first"
-        if known is None:
-            self._last += 1
+        if not 0 < command.ttl <= MAX_TTL_S:
+            return 0, f"a verdict holds for up to {MAX_TTL_S:g} s: {command.ttl!r}"
+        identity = (command.kind, command.subject)
+        existing = next(
+            (verdict for verdict in self._verdicts.values() if (verdict.kind, verdict.subject) == identity),
+            None,
+        )
+        if existing is None and len(self._verdicts) >= MAX_VERDICTS:
+            return 0, f"{MAX_VERDICTS} verdicts hold: lift some first"
+        if existing is None:
+            self._last_id += 1
         self.version += 1
-        number = known.id if known else self._last
-        self._verdicts[number] = Verdict(
-            id=number,
+        verdict_id = existing.id if existing else self._last_id
+        self._verdicts[verdict_id] = Verdict(
+            id=verdict_id,
             kind=command.kind,
             subject=command.subject,
             origin=command.origin,
             evidence=command.evidence,
             ttl=command.ttl,
-            why=command.why[:MAX_TEXT],
+            why=command.why[:MAX_REASON_LENGTH],
             version=self.version,
             index=index,
             value=command.value,
         )
-        return number, ""
+        return verdict_id, ""
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -323,11 +323,11 @@
         return LimitInputs(
             revision=self._revision,
             limits=config.limits,
-            plan=config.verdicts or VerdictSettings(),
+            verdict_settings=config.verdicts or VerdictSettings(),
             avoided=frozenset(u.name for u in ready if server_name(u.name, u.address) in avoided),
-            longest=config.deadline,
-            auto=config.autogap,
-            spared=frozenset(row.number for row in config.gaps if row.number),
+            longest_call_s=config.deadline,
+            auto_gaps=config.autogap,
+            configured_numbers=frozenset(row.number for row in config.gaps if row.number),
         )
 
     def _passed(self, called: str, now: float) -> None:
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -214,9 +214,11 @@
 
 def test_limits_by_caller_and_class_and_a_demand_that_is_measured() -> None:
     limit = Limit("x", 1.0, callers=("10.0.0.0/8",), call_class="look-up")
-    assert limit.meets("+94", "look-up", "10.1.2.3")
-    assert not limit.meets("+94", "look-up", "11.1.2.3") and not limit.meets("+94", "other", "10.1.2.3")
-    assert not limit.meets("+94", "look-up", "") and in_networks("::1", ("::/64",))
+    assert limit.applies_to("+94", "look-up", "10.1.2.3")
+    assert not limit.applies_to("+94", "look-up", "11.1.2.3") and not limit.applies_to(
+        "+94", "other", "10.1.2.3"
+    )
+    assert not limit.applies_to("+94", "look-up", "") and in_networks("::1", ("::/64",))
     purse = LimitBuckets()
     purse.configure([limit])
     for n in range(400):
@@ -258,14 +260,14 @@
             table.set(base, {}, now)
         for name in "uvwxyz":  # what each could have saved up, were there room for all
             if name not in exact:
-                exact[name] = Bucket(burst, at=0.0, share=2.0)
+                exact[name] = Bucket(burst, refilled_at=0.0, share=2.0)
             bucket = exact[name]
             bucket.burst_s = cap() / base
             if changed is not None:
                 bucket.burst_s = max(cap(), 1e9) / base  # filled at the old share first, then cut
                 bucket.set(base, now)
                 bucket.burst_s = cap() / base
-            bucket._fill(now)
+            bucket._refill(now)
             bucket.tokens = min(bucket.tokens, cap())
         if table.has_token(caller, now):
             table.take_token(caller)
@@ -335,7 +337,7 @@
     assert screen.retry_after("+94", "", 0.0) is not None
     screen.blocked = ("10.0.0.0/8",)
     assert screen.retry_after("+1", "", 0.0, "10.0.0.1") is not None
-    assert screen.retry_after("+1", "", 0.0, "11.0.0.1") is None and screen.turned_away == 1
+    assert screen.retry_after("+1", "", 0.0, "11.0.0.1") is None and screen.blocked_calls == 1
 
 
 # Verdicts
