--- a/benchmarks/heal_model.py
+++ b/benchmarks/heal_model.py
@@ -124,9 +124,9 @@
         return FleetState(
             name=host.name,
             now=now,
-            settled=node.raft.membership_index <= node.raft.commit,
+            membership_committed=node.raft.membership_index <= node.raft.commit,
             members=members,
-            gone={name: now - at for name, at in since.items()},
+            without_lease={name: now - at for name, at in since.items()},
             rejoining=frozenset(
                 other.name
                 for other in self.hosts.values()
@@ -142,7 +142,7 @@
         if not sight.members[instance].voter:
             return
         left = sight.voters - {instance}
-        there = left - sight.gone.keys()
+        there = left - sight.without_lease.keys()
         self.stats["fewest"] = min(self.stats["fewest"], len(left))
         if len(left) < PLAN.keep or len(there) <= len(left) // 2:
             raise ViolationError(f"{instance} was dropped, and {sorted(there)} of {sorted(left)} were there")
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -54,7 +54,7 @@
 class _Unguarded(Orders):
     """Broken on purpose: a move counts whatever it was decided on."""
 
-    def _guard(self, expect: int) -> None:
+    def _check_version(self, expect: int) -> None:
         pass
 
 
@@ -127,7 +127,7 @@
             controllers=self.names,
             live=live,
             waits=waits,
-            pressed=frozenset() if self.broken == "pressed_counts" else frozenset(self.pressed - self.failed),
+            avoided=frozenset() if self.broken == "pressed_counts" else frozenset(self.pressed - self.failed),
         )
         step = decide(instance.state, PLAN, sight)
         if step is None:
--- a/harepick/fleet/child.py
+++ b/harepick/fleet/child.py
@@ -52,7 +52,7 @@
 
     true = Handover.follow
 
-    def follow(self: Handover, order: Order | None, now: float, length: float, served: bool) -> None:
+    def follow(self: Handover, order: Order | None, now: float, duration: float, served: bool) -> None:
         true(self, order, now, 0.0, served)
 
     Handover.follow = follow  # type: ignore[method-assign]
@@ -68,7 +68,7 @@
 
     def sight(self: MaintenanceManager) -> FleetState | None:
         found = true(self)
-        return replace(found, failed=found.failed | found.pressed, pressed=frozenset()) if found else None
+        return replace(found, failed=found.failed | found.avoided, avoided=frozenset()) if found else None
 
     MaintenanceManager.fleet_state = sight  # type: ignore[method-assign]
 
--- a/harepick/fleet/health.py
+++ b/harepick/fleet/health.py
@@ -1,9 +1,10 @@
-"""Which servers give nothing now, and which of them have failed, as the whole fleet sees it. Pure.
+"""Which servers are avoided, and which of them count as failed, as seen by the whole fleet. Pure.
 
-Each instance watches what its own module avoids and tells the leader beside its demand, as spans by its own
-clock. Avoiding alone is no failure: a module shuts a server for a moment whenever it is full. One has failed
-once several instances have avoided it without a break, so that one instance's broken link is no failure of
-the server either. `docs/design/maintenance.md`, "What has failed".
+Each instance reports to the leader, with its demand, how long it has avoided each server by its own clock.
+A server that is avoided has not necessarily failed: overload control also avoids a server briefly when it is
+full. It counts as failed once several instances have avoided it without interruption, so that a broken
+connection of one instance is not taken for a failure of the server. `docs/design/maintenance.md`, "What has
+failed".
 """
 
 from __future__ import annotations
@@ -11,58 +12,67 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-SERVER_KEY_PREFIX = "!"  # first letter of what is told: a limit's name and a number called begin otherwise
-MOST = 64  # servers that one instance tells of, those avoided for longest
-WITNESSES = 2  # instances that have to agree, or all that live if they are fewer
+SERVER_KEY_PREFIX = "!"  # of a key in a report; the ids of limits and called numbers never start with it
+MAX_REPORTED_SERVERS = 64  # per instance; those avoided for longest are reported
+MIN_CONFIRMING_INSTANCES = 2  # or all live instances, if there are fewer
 
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """`failed` gives nothing and may go out whatever it would leave; `pressed` gives nothing fresh to some
-    instance now, and may be back the next moment."""
+    """Failed servers, which maintenance may take out at any time, and servers that are only avoided.
+
+    An avoided server gets no new calls from some instance, and may be back in service at any moment.
+    """
 
     failed: frozenset[str]
-    pressed: frozenset[str]
+    avoided: frozenset[str]
 
 
 class AvoidanceTracker:
-    """Owns, for one instance, since when each server has been avoided there without a break."""
+    """Since when one instance has avoided each server without interruption."""
 
     def __init__(self) -> None:
-        self._since: dict[str, float] = {}
+        self._avoided_since: dict[str, float] = {}
 
     def update(self, avoided: frozenset[str], now: float) -> None:
-        """`avoided` is by the module's own doing: not what orders, verdicts or the list keep away from."""
-        self._since = {name: self._since.get(name, now) for name in sorted(avoided)}
+        """`avoided`: by overload control alone, not because of orders, verdicts or the configuration."""
+        self._avoided_since = {name: self._avoided_since.get(name, now) for name in sorted(avoided)}
 
-    def spans(self, now: float) -> dict[str, float]:
-        """Seconds for which each that is avoided now has been, longest first."""
-        rows = sorted(self._since.items(), key=lambda row: row[1])
-        return {name: now - since for name, since in rows}
+    def durations(self, now: float) -> dict[str, float]:
+        """Seconds for which each avoided server has been avoided, the longest first."""
+        rows = sorted(self._avoided_since.items(), key=lambda row: row[1])
+        return {name: now - avoided_since for name, avoided_since in rows}
 
     def rows(self, now: float) -> dict[str, float]:
-        """What the leader is told."""
-        return {SERVER_KEY_PREFIX + name: span for name, span in list(self.spans(now).items())[:MOST]}
+        """The report to the leader."""
+        return {
+            SERVER_KEY_PREFIX + name: duration
+            for name, duration in list(self.durations(now).items())[:MAX_REPORTED_SERVERS]
+        }
 
 
 def health(
-    told: Mapping[str, Mapping[str, float]],
+    reports: Mapping[str, Mapping[str, float]],
     live: frozenset[str],
-    after: float,
+    failed_after: float,
     failed: frozenset[str] = frozenset(),
-    pressed: frozenset[str] = frozenset(),
+    overloaded: frozenset[str] = frozenset(),
 ) -> Health:
-    """`told`: rows of each instance, heard lately; `after`: seconds without a break; `failed` and `pressed`:
-    what verdicts say that hold."""
-    witnesses: dict[str, int] = {}
-    avoided = set(pressed)
-    for name, rows in told.items():
+    """Combines the recent reports of the instances.
+
+    `reports`: by instance, server key and seconds avoided. `live`: instances whose reports count.
+    `failed_after`: seconds of avoidance until a server counts as failed. `failed`, `overloaded`: servers
+    under a verdict of that kind.
+    """
+    confirmations: dict[str, int] = {}
+    avoided = set(overloaded)
+    for name, rows in reports.items():
         if name not in live:
             continue
-        for key, span in rows.items():
+        for key, duration in rows.items():
             if key[:1] == SERVER_KEY_PREFIX:
                 avoided.add(key[1:])
-                witnesses[key[1:]] = witnesses.get(key[1:], 0) + (span >= after)
-    enough = max(1, min(WITNESSES, len(live)))
-    found = failed | {server for server, count in witnesses.items() if count >= enough}
+                confirmations[key[1:]] = confirmations.get(key[1:], 0) + (duration >= failed_after)
+    required_confirmations = max(1, min(MIN_CONFIRMING_INSTANCES, len(live)))
+    found = failed | {server for server, count in confirmations.items() if count >= required_confirmations}
     return Health(found, frozenset(avoided) - found)
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -202,7 +202,7 @@
         self._avoidance.update(inputs.avoided if inputs else frozenset(), now)
         if inputs is None or inputs.verdict_settings.failed_after <= 0 or not self._replica.may_act():
             return
-        for name, avoided_s in self._avoidance.spans(now).items():
+        for name, avoided_s in self._avoidance.durations(now).items():
             last_verdict_at = self._last_verdict_at.get(name, float("-inf"))
             if avoided_s >= inputs.verdict_settings.failed_after and now - last_verdict_at >= min(
                 VERDICT_REPEAT_S, inputs.verdict_settings.ttl / 2
--- a/harepick/fleet/maintenance/__init__.py
+++ b/harepick/fleet/maintenance/__init__.py
@@ -1,4 +1,4 @@
-"""Machines out for work: what the fleet's instances settle among themselves. `docs/design/maintenance.md`."""
+"""Maintenance orders for servers and controllers of the fleet. `docs/design/maintenance.md`."""
 
 from harepick.fleet.maintenance.orders import (
     AdvanceOrder,
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -1,7 +1,8 @@
-"""The steward of one instance: while it leads it proposes the rule's moves; always, it does its own part.
+"""The maintenance manager of one instance.
 
-Its own part: to tell once it has no calls left when it was asked out, and to hand leadership over first. All
-that it proposes is guarded (`orders.py`), so that a steward that is behind changes nothing.
+While this instance leads, it proposes the commands of the policy. On every instance it follows the order on
+its own controller: it hands leadership over and reports when it has no calls left. All commands carry the
+version that they were decided on (`orders.py`), so that a manager that is behind changes nothing.
 """
 
 from __future__ import annotations
@@ -22,74 +23,77 @@
 from harepick.store.replica import Replica, StoreUnavailableError
 from harepick.store.state_machine import Envelope, OrderChanged
 
-POLL_INTERVAL_S = 0.1  # seconds between two looks, if nothing wakes it
-MIN_PAUSE_S = 0.02  # between two looks in any case
-COMMIT_TIMEOUT_S = 5.0  # for one move to be committed
-HAND_OVER = 3.0  # for another to lead
+POLL_INTERVAL_S = 0.1  # between two evaluations, unless the store changes
+MIN_PAUSE_S = 0.02  # between two evaluations in any case
+COMMIT_TIMEOUT_S = 5.0  # for one command to be committed
+LEADERSHIP_TRANSFER_TIMEOUT_S = 3.0  # for another instance to take over leadership
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceInputs:
-    """What the front knows, at one moment."""
+    """Configuration and local state that the manager evaluates, at one moment."""
 
-    plan: MaintenanceSettings
+    settings: MaintenanceSettings
     revision: int
-    servers: frozenset[str]  # ready in the configuration, by name
-    failed: frozenset[str]  # under a verdict that says so, by name
-    pressed: frozenset[str]  # under a verdict that they are overloaded
-    idle: bool  # no calls under way here, and none taken any more
+    servers: frozenset[str]  # configured and not draining, by name
+    failed: frozenset[str]  # by name, under a verdict `failed`
+    overloaded: frozenset[str]  # by name, under a verdict `overloaded`
+    idle: bool  # this instance has no calls and accepts none
 
 
 class MaintenanceManager:
+    """Evaluates the maintenance policy periodically and proposes its commands."""
+
     def __init__(
-        self, replica: Replica, facts: Callable[[], MaintenanceInputs | None], counters: Counters, log: Log
+        self, replica: Replica, inputs: Callable[[], MaintenanceInputs | None], counters: Counters, log: Log
     ) -> None:
-        """`facts` gives None as long as there is no configuration."""
-        self._replica, self._facts = replica, facts
+        """`inputs` returns None while there is no configuration."""
+        self._replica, self._inputs = replica, inputs
         self._counters, self._log = counters, log
-        self._me = replica.settings.replica
+        self._name = replica.settings.replica
 
     @property
     def orders(self) -> Orders:
+        """The orders as last applied here."""
         return self._replica.node.state_machine.orders
 
     def fleet_state(self) -> FleetState | None:
-        """What the rule may be evaluated on; None while this instance can't know it."""
-        facts, leases = self._facts(), self._replica.leases()
-        if facts is None or leases is None:
+        """Input of the policy; None while this instance does not lead, or has no configuration."""
+        inputs, leases = self._inputs(), self._replica.leases()
+        if inputs is None or leases is None:
             return None
         live, waits = leases
         voters = self._replica.node.raft.membership.voters
         demands = self._replica.demands()
-        seen = health(demands, live, facts.plan.failed_after, facts.failed, facts.pressed)
+        server_health = health(demands, live, inputs.settings.failed_after, inputs.failed, inputs.overloaded)
         return FleetState(
-            name=self._me,
+            name=self._name,
             now=time.time(),
-            revision=facts.revision,
-            servers=facts.servers,
-            failed=seen.failed & facts.servers,
-            pressed=seen.pressed & facts.servers,
+            revision=inputs.revision,
+            servers=inputs.servers,
+            failed=server_health.failed & inputs.servers,
+            avoided=server_health.avoided & inputs.servers,
             controllers=voters,
             live=live & frozenset(voters),
             waits=waits,
         )
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Runs until cancelled."""
         while True:
             try:
-                await self._own_part()
-                await self._turn()
+                await self._advance_own_order()
+                await self._evaluate()
             except (NotLeaderError, BusyError, BadChangeError, StoreUnavailableError):
-                self._counters.add("maint.not_proposed")  # another leads, or comes to: it looks for itself
+                self._counters.add("maint.not_proposed")  # another instance leads, or is about to
             await anyio.sleep(MIN_PAUSE_S)
             await self._replica.wait_for_change(POLL_INTERVAL_S)
 
-    async def _turn(self) -> None:
-        sight, facts = self.fleet_state(), self._facts()
-        if sight is None or facts is None:
+    async def _evaluate(self) -> None:
+        fleet_state, inputs = self.fleet_state(), self._inputs()
+        if fleet_state is None or inputs is None:
             return
-        step = decide(self.orders, facts.plan, sight)
+        step = decide(self.orders, inputs.settings, fleet_state)
         if step is None:
             return
         answer = await self._replica.change(Envelope("", 0, step), COMMIT_TIMEOUT_S)
@@ -105,26 +109,29 @@
         else:
             self._log.event("maint_seat", controller=step.instance, state=step.state)
 
-    async def _own_part(self) -> None:
-        order = self.orders.of(CONTROLLER, self._me)
+    async def _advance_own_order(self) -> None:
+        order = self.orders.of(CONTROLLER, self._name)
         if order is None or order.state == "waiting":
             return
-        facts = self._facts()
-        if order.state == "leaving" and not order.idle and facts and facts.idle:
-            self._replica.change_nowait(Envelope("", 0, ReportIdle(order.id, self._me)))
-        if leases := self._replica.leases():  # it leads
-            able = leases[0] & frozenset(self._replica.node.raft.membership.voters)  # a learner can't lead
-            heirs = sorted(able - self.orders.excluded(CONTROLLER) - {self._me})
-            if heirs:
-                self._log.event("maint_hand_over", to=heirs[0], order=order.id)
-                await self._replica.transfer(heirs[0], HAND_OVER)
-
-    # What can be seen
-
-    def told(self, order: Order, sight: FleetState | None) -> dict[str, Any]:
-        """An order for a reader; `why` only where this instance leads and can tell."""
-        facts = self._facts()
-        held = why(order, self.orders, facts.plan, sight) if sight and facts else None
+        inputs = self._inputs()
+        if order.state == "leaving" and not order.idle and inputs and inputs.idle:
+            self._replica.change_nowait(Envelope("", 0, ReportIdle(order.id, self._name)))
+        if leases := self._replica.leases():  # this instance leads
+            # A learner cannot lead.
+            eligible = leases[0] & frozenset(self._replica.node.raft.membership.voters)
+            successors = sorted(eligible - self.orders.excluded(CONTROLLER) - {self._name})
+            if successors:
+                self._log.event("maint_hand_over", to=successors[0], order=order.id)
+                await self._replica.transfer(successors[0], LEADERSHIP_TRANSFER_TIMEOUT_S)
+
+    # Status
+
+    def describe(self, order: Order, fleet_state: FleetState | None) -> dict[str, Any]:
+        """An order as shown to operators; `why` is None unless this instance leads."""
+        inputs = self._inputs()
+        waiting_for = (
+            why(order, self.orders, inputs.settings, fleet_state) if fleet_state and inputs else None
+        )
         return {
             "order": order.id,
             "machine": order.key,
@@ -134,30 +141,33 @@
             "priority": order.priority,
             "opens": order.opens or None,
             "closes": None if order.closes == float("inf") else order.closes,
-            "why": held,
+            "why": waiting_for,
             "gone": list(order.gone),
             "steps": [{"state": state, "at": at} for state, at in order.steps],
         }
 
     def status(self) -> dict[str, Any]:
-        """The queue and who is out, as last applied here; `current` tells whether that may be old."""
-        sight, orders = self.fleet_state(), self.orders
-        seats = dict(orders.controller_states)
+        """Orders and controllers as last applied here; `current` is false if they may be out of date."""
+        fleet_state, orders = self.fleet_state(), self.orders
+        controller_states = dict(orders.controller_states)
         for order in orders.open:
             if order.kind == CONTROLLER and order.state != "waiting":
-                seats[order.machine] = "draining" if order.state == "leaving" else "out"
+                controller_states[order.machine] = "draining" if order.state == "leaving" else "out"
         return {
-            "instance": self._me,
+            "instance": self._name,
             "current": self._replica.may_act(),
             "leader": self._replica.node.raft.leader,
             "version": orders.version,
-            "controllers": seats,
-            "orders": [self.told(order, sight) for order in orders.open],
-            "ended": [self.told(order, None) for order in orders.ended[-20:]],
+            "controllers": controller_states,
+            "orders": [self.describe(order, fleet_state) for order in orders.open],
+            "ended": [self.describe(order, None) for order in orders.ended[-20:]],
         }
 
 
-def with_draining(config: Any, barred: frozenset[str]) -> Any:
-    """The configuration as it is acted on: servers that are leaving or out drain."""
-    upstreams = tuple(replace(u, draining=True) if u.name in barred else u for u in config.upstreams)
+def with_draining(config: Any, excluded: frozenset[str]) -> Any:
+    """The configuration with the excluded servers marked as draining."""
+    upstreams = tuple(
+        replace(upstream, draining=True) if upstream.name in excluded else upstream
+        for upstream in config.upstreams
+    )
     return replace(config, upstreams=upstreams)
--- a/harepick/fleet/maintenance/operator_api.py
+++ b/harepick/fleet/maintenance/operator_api.py
@@ -1,4 +1,4 @@
-"""What operators ask of the orders, as methods of the tools' port (`docs/protocol/operators.md`)."""
+"""Methods of the tools' port for maintenance orders (`docs/protocol/operators.md`)."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 Answer = Callable[[dict[str, Any], float], Awaitable[Any]]
 
 
-def machine(text: str) -> tuple[str, str]:
-    """Kind and name of `server:NAME`, `controller:NAME`, or a server's `NAME`; raises `BadRequestError`."""
+def parse_machine(text: str) -> tuple[str, str]:
+    """Kind and name from `server:NAME`, `controller:NAME` or a server's `NAME`. Raises `BadRequestError`."""
     kind, colon, name = text.partition(":")
     if not colon:
         kind, name = SERVER, text
@@ -36,13 +36,13 @@
 
 
 class MaintenanceApi:
-    """`methods` go beside those of the store."""
+    """Requests, cancels, ends and lists orders; `methods` are added to those of the store."""
 
     def __init__(
-        self, replica: Replica, steward: MaintenanceManager, servers: Callable[[], frozenset[str]]
+        self, replica: Replica, manager: MaintenanceManager, servers: Callable[[], frozenset[str]]
     ) -> None:
-        """`servers`: names of all servers of the configuration, draining ones too."""
-        self._replica, self._steward, self._servers = replica, steward, servers
+        """`servers` returns the names of all configured servers, including draining ones."""
+        self._replica, self._manager, self._servers = replica, manager, servers
         self.methods: dict[str, Answer] = {
             "maint_request": self.request,
             "maint_cancel": self.cancel,
@@ -51,7 +51,11 @@
         }
 
     async def request(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        kind, name = machine(argument_text(arguments, "machine"))
+        """Requests maintenance of a server or controller.
+
+        Raises `BadRequestError`, and `OutcomeError` if the machine is unknown or the command is refused.
+        """
+        kind, name = parse_machine(argument_text(arguments, "machine"))
         await self._replica.read(wait)
         known = self._servers() if kind == SERVER else frozenset(self._replica.node.raft.membership.voters)
         if name not in known:
@@ -59,10 +63,13 @@
         priority = arguments.get("priority", 0)
         if isinstance(priority, bool) or not isinstance(priority, int) or abs(priority) > MAX_PRIORITY:
             raise BadRequestError(f"argument priority is not from -100 to 100: {priority!r}")
-        opens, closes = self._time(arguments, "opens", 0.0), self._time(arguments, "closes", float("inf"))
+        opens, closes = (
+            self._time_argument(arguments, "opens", 0.0),
+            self._time_argument(arguments, "closes", float("inf")),
+        )
         if not opens < closes:
             raise BadRequestError("argument closes is not after opens")
-        body = RequestMaintenance(
+        command = RequestMaintenance(
             kind,
             name,
             argument_text(arguments, "reason", ""),
@@ -72,34 +79,36 @@
             closes,
             time.time(),
         )
-        return await self._change(arguments, body, wait)
+        return await self._change(arguments, command, wait)
 
     async def cancel(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        body = CancelOrder(
+        """Withdraws an order. Raises `OutcomeError` if it is refused."""
+        command = CancelOrder(
             argument_number(arguments, "order"), argument_text(arguments, "by", ""), time.time()
         )
-        return await self._change(arguments, body, wait)
+        return await self._change(arguments, command, wait)
 
     async def done(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        body = FinishOrder(
+        """Ends an order whose machine is out. Raises `OutcomeError` if it is refused."""
+        command = FinishOrder(
             argument_number(arguments, "order"), argument_text(arguments, "by", ""), time.time()
         )
-        return await self._change(arguments, body, wait)
+        return await self._change(arguments, command, wait)
 
     async def list(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        """From the leader, which knows why each order waits; with `stale`, from whoever is asked."""
+        """The orders from the leader, which knows why each waits; with `stale`, as known here."""
         if not arguments.get("stale"):
             await self._replica.read(wait)
-            if self._replica.leases() is None and self._replica.node.raft.leader != self._me:
+            if self._replica.leases() is None and self._replica.node.raft.leader != self._name:
                 raise NotLeaderError(self._replica.node.raft.leader)
-        return self._steward.status()
+        return self._manager.status()
 
     @property
-    def _me(self) -> str:
+    def _name(self) -> str:
         return self._replica.settings.replica
 
     @staticmethod
-    def _time(arguments: dict[str, Any], name: str, default: float) -> float:
+    def _time_argument(arguments: dict[str, Any], name: str, default: float) -> float:
         value = arguments.get(name)
         if value is None:
             return default
@@ -107,9 +116,9 @@
             raise BadRequestError(f"argument {name} is no Unix time: {value!r}")
         return float(value)
 
-    async def _change(self, arguments: dict[str, Any], body: OrderCommand, wait: float) -> dict[str, Any]:
+    async def _change(self, arguments: dict[str, Any], command: OrderCommand, wait: float) -> dict[str, Any]:
         session, number = argument_text(arguments, "session", ""), argument_number(arguments, "number", 0)
-        answer = await self._replica.change(Envelope(session, number, body), wait)
+        answer = await self._replica.change(Envelope(session, number, command), wait)
         match answer:
             case OrderChanged(order, state, version, _):
                 return {"order": order, "state": state, "version": version}
--- a/harepick/fleet/maintenance/orders.py
+++ b/harepick/fleet/maintenance/orders.py
@@ -1,8 +1,8 @@
-"""The orders: which machines are asked out, leaving and out, and who is a controller. Replicated, pure.
+"""Maintenance orders of servers and controllers, and the states of controllers. Replicated, pure.
 
-Every replica applies the same commands in the same order and comes to the same orders. Nothing here depends
-on a clock, on settings or on who applies it: what a rule has to decide (`policy.py`) comes as an
-`AdvanceOrder`, guarded by the version of the orders that the rule saw.
+Every replica applies the same commands in the same sequence and gets the same orders. Nothing here depends on
+a clock, on settings or on who applies it: decisions of the policy (`policy.py`) come as an `AdvanceOrder`,
+which is refused unless the orders still have the version that the policy saw.
 """
 
 from __future__ import annotations
@@ -10,16 +10,19 @@
 from msgspec import Struct, field
 
 SERVER, CONTROLLER = "server", "controller"
-OPEN = ("waiting", "leaving", "out")
-NEXT = {"waiting": "leaving", "leaving": "out"}  # by a move; `FinishOrder` and `CancelOrder` end an order
-SEATS = ("joining", "serving", "gone")
-MAX_OPEN = 256  # orders that are not ended
-MAX_ENDED = 256  # ended ones that are kept to be looked up
-MAX_TEXT = 500  # characters of a reason
+OPEN_STATES = ("waiting", "leaving", "out")
+NEXT_STATE = {
+    "waiting": "leaving",
+    "leaving": "out",
+}  # by an `AdvanceOrder`; `FinishOrder` and `CancelOrder` end an order
+CONTROLLER_STATES = ("joining", "serving", "gone")
+MAX_OPEN_ORDERS = 256  # open orders at once
+MAX_ENDED_ORDERS = 256  # ended orders kept for operators to look up
+MAX_TEXT_LENGTH = 500  # characters of a reason or an operator's name
 
 
 class RequestMaintenance(Struct, frozen=True, tag="ask_out"):
-    """An operator wants a machine out for work, between two Unix times."""
+    """Requests maintenance of a machine, which may start between the Unix times `opens` and `closes`."""
 
     kind: str  # `SERVER` or `CONTROLLER`
     machine: str
@@ -32,7 +35,7 @@
 
 
 class CancelOrder(Struct, frozen=True, tag="withdraw"):
-    """The request is not wanted any more; a machine that is leaving or out comes back."""
+    """Withdraws an order; a machine that is leaving or out returns to service."""
 
     order: int
     by: str = ""
@@ -40,7 +43,7 @@
 
 
 class FinishOrder(Struct, frozen=True, tag="finish"):
-    """The work is done: the machine comes back."""
+    """Ends an order after the work: the machine returns to service."""
 
     order: int
     by: str = ""
@@ -48,15 +51,17 @@
 
 
 class ReportIdle(Struct, frozen=True, tag="idle"):
-    """A controller that leaves has no calls left."""
+    """Reports that a leaving controller has no calls left."""
 
     order: int
     instance: str
 
 
 class AdvanceOrder(Struct, frozen=True, tag="move"):
-    """An order goes on to its next state, decided on the orders of `expect` and the configuration of
-    `revision`."""
+    """Advances an order to its next state.
+
+    Refused unless `expect` is the version of the orders and `revision` that of the configuration.
+    """
 
     order: int
     to: str
@@ -64,11 +69,11 @@
     revision: int
     by: str
     at: float = 0.0
-    gone: tuple[str, ...] = ()  # controllers whose lease had run out instead of their confirming
+    gone: tuple[str, ...] = ()  # controllers that did not confirm, and whose lease had expired
 
 
 class SetControllerState(Struct, frozen=True, tag="seat"):
-    """What a controller is, seen by whoever led; an empty state takes it off the list."""
+    """Sets a controller's state as the leader sees it; an empty state removes it from the list."""
 
     instance: str
     state: str
@@ -80,7 +85,7 @@
 
 
 class Order(Struct, frozen=True):
-    """One request, as it stands."""
+    """One maintenance order with its current state."""
 
     id: int
     kind: str
@@ -91,19 +96,20 @@
     opens: float
     closes: float
     state: str
-    version: int  # of the orders, when it came to this state
-    index: int  # of that entry in the log
+    version: int  # of the orders, when this state was entered
+    index: int  # log index of that entry
     idle: bool = False
     gone: tuple[str, ...] = ()
-    steps: tuple[tuple[str, float], ...] = ()  # states it came to, and the proposer's Unix time
+    steps: tuple[tuple[str, float], ...] = ()  # states entered, each with the proposer's Unix time
 
     @property
     def key(self) -> str:
+        """`KIND:MACHINE`, as operators write it."""
         return f"{self.kind}:{self.machine}"
 
 
 class OrdersState(Struct):
-    """All that a snapshot holds."""
+    """The orders as written to a snapshot."""
 
     version: int = 0
     last: int = 0  # id given out last
@@ -113,11 +119,11 @@
 
 
 class RefusedOrderError(ValueError):
-    """A command that changes nothing; the text says why."""
+    """A command was refused and changed nothing; the text is the reason."""
 
 
 class Orders:
-    """Owns the orders; `apply` is the one way to change them."""
+    """Open and ended orders and the states of controllers; only `apply` changes them."""
 
     def __init__(self, state: OrdersState | None = None) -> None:
         state = state or OrdersState()
@@ -127,6 +133,7 @@
         self.controller_states = dict(state.seats)
 
     def dump(self) -> OrdersState:
+        """The state for a snapshot."""
         return OrdersState(
             self.version,
             self._last,
@@ -137,42 +144,52 @@
 
     @property
     def open(self) -> list[Order]:
-        """Waiting, leaving and out, in order of arrival."""
+        """Orders that wait, leave or are out, in the sequence of their requests."""
         return list(self._open.values())
 
     @property
     def ended(self) -> list[Order]:
-        """The latest last."""
+        """Ended orders, the most recent last."""
         return list(self._ended)
 
-    def get(self, number: int) -> Order | None:
-        known = self._open.get(number)
-        return known or next((order for order in self._ended if order.id == number), None)
+    def get(self, order_id: int) -> Order | None:
+        """The open or ended order with that id, or None."""
+        current = self._open.get(order_id)
+        return current or next((order for order in self._ended if order.id == order_id), None)
 
     def excluded(self, kind: str) -> frozenset[str]:
-        """Machines that nothing fresh may go to."""
-        return frozenset(o.machine for o in self._open.values() if o.kind == kind and o.state != "waiting")
+        """Machines of that kind that get no new calls: leaving or out."""
+        return frozenset(
+            order.machine for order in self._open.values() if order.kind == kind and order.state != "waiting"
+        )
 
     def given_up(self) -> frozenset[str]:
-        """Controllers that take no calls any more: out, or leaving with none under way."""
+        """Controllers that take no calls any more: out, or leaving and idle."""
         return frozenset(
-            o.machine for o in self._open.values() if o.kind == CONTROLLER and (o.state == "out" or o.idle)
+            order.machine
+            for order in self._open.values()
+            if order.kind == CONTROLLER and (order.state == "out" or order.idle)
         )
 
     def of(self, kind: str, machine: str) -> Order | None:
         """The open order of a machine."""
-        return next((o for o in self._open.values() if (o.kind, o.machine) == (kind, machine)), None)
+        return next(
+            (order for order in self._open.values() if (order.kind, order.machine) == (kind, machine)), None
+        )
 
     def apply(self, index: int, command: OrderCommand) -> Order | None:
-        """The order that it was about (None for a seat). Raises `RefusedOrderError`, changing nothing."""
+        """Applies the command of log entry `index`; returns the changed order, None for a controller's state.
+
+        Raises `RefusedOrderError`, changing nothing.
+        """
         match command:
             case RequestMaintenance():
-                return self._ask(index, command)
+                return self._request(index, command)
             case AdvanceOrder():
-                return self._move(index, command)
+                return self._advance(index, command)
             case SetControllerState(instance, state, expect):
-                self._guard(expect)
-                if state and state not in SEATS:
+                self._check_version(expect)
+                if state and state not in CONTROLLER_STATES:
                     raise RefusedOrderError(f"a controller is never {state!r}")
                 if state:
                     self.controller_states[instance] = state
@@ -180,67 +197,73 @@
                     self.controller_states.pop(instance, None)
                 self.version += 1
                 return None
-            case ReportIdle(order, instance):
-                known = self._known(order)
-                if (known.kind, known.machine) != (CONTROLLER, instance) or known.state != "leaving":
-                    raise RefusedOrderError(f"order {order} does not wait for {instance} to be idle")
-                return self._put(known, index, known.state, 0.0, idle=True)
-            case FinishOrder(order, _, at):
-                known = self._known(order)
-                if known.state != "out":
-                    raise RefusedOrderError(f"order {order} is {known.state}: only what is out comes back")
-                return self._end(known, index, "back", at)
-            case CancelOrder(order, _, at):
-                return self._end(self._known(order), index, "cancelled", at)
-
-    def _ask(self, index: int, ask: RequestMaintenance) -> Order:
-        if ask.kind not in (SERVER, CONTROLLER):
-            raise RefusedOrderError(f"no kind of machine: {ask.kind!r}")
-        if known := self.of(ask.kind, ask.machine):
-            raise RefusedOrderError(f"order {known.id} has {ask.machine} already, and is {known.state}")
-        if len(self._open) >= MAX_OPEN:
-            raise RefusedOrderError(f"{MAX_OPEN} orders are open: end some first")
-        if not ask.opens < ask.closes:
+            case ReportIdle(order_id, instance):
+                current = self._open_order(order_id)
+                if (current.kind, current.machine) != (CONTROLLER, instance) or current.state != "leaving":
+                    raise RefusedOrderError(f"order {order_id} does not wait for {instance} to be idle")
+                return self._replace(current, index, current.state, 0.0, idle=True)
+            case FinishOrder(order_id, _, at):
+                current = self._open_order(order_id)
+                if current.state != "out":
+                    raise RefusedOrderError(
+                        f"order {order_id} is {current.state}: only what is out comes back"
+                    )
+                return self._end(current, index, "back", at)
+            case CancelOrder(order_id, _, at):
+                return self._end(self._open_order(order_id), index, "cancelled", at)
+
+    def _request(self, index: int, request: RequestMaintenance) -> Order:
+        if request.kind not in (SERVER, CONTROLLER):
+            raise RefusedOrderError(f"no kind of machine: {request.kind!r}")
+        if current := self.of(request.kind, request.machine):
+            raise RefusedOrderError(
+                f"order {current.id} has {request.machine} already, and is {current.state}"
+            )
+        if len(self._open) >= MAX_OPEN_ORDERS:
+            raise RefusedOrderError(f"{MAX_OPEN_ORDERS} orders are open: end some first")
+        if not request.opens < request.closes:
             raise RefusedOrderError("the window closes before it opens")
         self._last += 1
         self.version += 1
         order = Order(
             id=self._last,
-            kind=ask.kind,
-            machine=ask.machine,
-            reason=ask.reason[:MAX_TEXT],
-            by=ask.by[:MAX_TEXT],
-            priority=ask.priority,
-            opens=ask.opens,
-            closes=ask.closes,
+            kind=request.kind,
+            machine=request.machine,
+            reason=request.reason[:MAX_TEXT_LENGTH],
+            by=request.by[:MAX_TEXT_LENGTH],
+            priority=request.priority,
+            opens=request.opens,
+            closes=request.closes,
             state="waiting",
             version=self.version,
             index=index,
-            steps=(("waiting", ask.at),),
+            steps=(("waiting", request.at),),
         )
         self._open[order.id] = order
         return order
 
-    def _move(self, index: int, move: AdvanceOrder) -> Order:
-        self._guard(move.expect)
-        known = self._known(move.order)
-        if NEXT.get(known.state) != move.to:
-            raise RefusedOrderError(f"order {move.order} is {known.state}: it does not become {move.to}")
-        return self._put(known, index, move.to, move.at, gone=move.gone)
+    def _advance(self, index: int, command: AdvanceOrder) -> Order:
+        self._check_version(command.expect)
+        current = self._open_order(command.order)
+        if NEXT_STATE.get(current.state) != command.to:
+            raise RefusedOrderError(
+                f"order {command.order} is {current.state}: it does not become {command.to}"
+            )
+        return self._replace(current, index, command.to, command.at, gone=command.gone)
 
-    def _guard(self, expect: int) -> None:
+    def _check_version(self, expect: int) -> None:
         if expect != self.version:
             raise RefusedOrderError(f"decided on version {expect} of the orders, and they are {self.version}")
 
-    def _known(self, number: int) -> Order:
-        known = self._open.get(number)
-        if known is None:
-            raise RefusedOrderError(f"no open order {number}")
-        return known
+    def _open_order(self, order_id: int) -> Order:
+        current = self._open.get(order_id)
+        if current is None:
+            raise RefusedOrderError(f"no open order {order_id}")
+        return current
 
-    def _put(
+    def _replace(
         self,
-        known: Order,
+        current: Order,
         index: int,
         state: str,
         at: float,
@@ -249,28 +272,28 @@
         gone: tuple[str, ...] = (),
     ) -> Order:
         self.version += 1
-        changed = state != known.state
+        changed = state != current.state
         order = Order(
-            id=known.id,
-            kind=known.kind,
-            machine=known.machine,
-            reason=known.reason,
-            by=known.by,
-            priority=known.priority,
-            opens=known.opens,
-            closes=known.closes,
+            id=current.id,
+            kind=current.kind,
+            machine=current.machine,
+            reason=current.reason,
+            by=current.by,
+            priority=current.priority,
+            opens=current.opens,
+            closes=current.closes,
             state=state,
-            version=self.version if changed else known.version,
-            index=index if changed else known.index,
-            idle=idle or known.idle,
-            gone=gone or known.gone,
-            steps=(*known.steps, (state, at)) if changed else known.steps,
+            version=self.version if changed else current.version,
+            index=index if changed else current.index,
+            idle=idle or current.idle,
+            gone=gone or current.gone,
+            steps=(*current.steps, (state, at)) if changed else current.steps,
         )
         self._open[order.id] = order
         return order
 
-    def _end(self, known: Order, index: int, state: str, at: float) -> Order:
-        order = self._put(known, index, state, at)
+    def _end(self, current: Order, index: int, state: str, at: float) -> Order:
+        order = self._replace(current, index, state, at)
         del self._open[order.id]
-        self._ended = [*self._ended, order][-MAX_ENDED:]
+        self._ended = [*self._ended, order][-MAX_ENDED_ORDERS:]
         return order
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -1,7 +1,8 @@
-"""The rule: which order goes on next, and why one waits. Pure: orders, plan and sight in, one move out.
+"""The maintenance policy: which order advances next, and why an order waits. Pure.
 
-`docs/design/maintenance.md` has the rule in words. Whoever leads evaluates it; what it says takes effect only
-if the orders and the configuration are still those that it saw.
+From the orders, the settings and the state of the fleet it derives one command. The leader evaluates it; the
+command takes effect only if the orders and the configuration have not changed since. The policy is described
+in `docs/design/maintenance.md`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Group:
-    """A class or district, never left without a server."""
+    """A group of servers, such as a class or district, of which one always remains in service."""
 
     name: str
     servers: frozenset[str]
@@ -29,166 +30,184 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceSettings:
-    """What the operators allow; capacities in whatever unit they count in, 1 for a server not named."""
-
-    max_out: int = 1
-    max_out_controllers: int = 1
-    floor: float = 0.0
-    handover: float = 1.0  # seconds for the callers of a controller that leaves to move (`handover.py`)
-    failed_after: float = (
-        2.0  # seconds for which a server is avoided before it has failed (`fleet/health.py`)
-    )
+    """`[maintenance]`. Capacities are in any one unit; a server without a configured capacity counts as 1."""
+
+    max_out: int = 1  # servers leaving or out at once
+    max_out_controllers: int = 1  # controllers leaving or out at once
+    floor: float = 0.0  # capacity that remains in service
+    handover: float = 1.0  # seconds for the callers of a leaving controller to move (`handover.py`)
+    failed_after: float = 2.0  # seconds for which a server is avoided until it counts as failed (`health.py`)
     capacity: Mapping[str, float] = field(default_factory=dict)
     groups: tuple[Group, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What the leader sees. `waits(index)`: who may still act on something older than that entry."""
+    """The leader's view of the fleet. `waits(index)`: instances that may still act on an older state."""
 
-    name: str  # its own
-    now: float  # Unix time, for windows alone
-    revision: int  # of the configuration that all of this is from
-    servers: frozenset[str]  # those that the configuration has ready
-    failed: frozenset[str]  # of these, the ones that have failed
+    name: str  # the leader
+    now: float  # Unix time, used only for maintenance windows
+    revision: int  # of the configuration
+    servers: frozenset[str]  # configured and not draining
+    failed: frozenset[str]  # of `servers`
     controllers: tuple[str, ...]  # voting members
     live: frozenset[str]  # members that may hold a lease
     waits: Callable[[int], list[str]]
-    pressed: frozenset[str] = frozenset()  # of the servers, those that give nothing just now
+    avoided: frozenset[str] = frozenset()  # of `servers`, not failed
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
-    """Why an order waits. `shared`: for something that those behind it need as well."""
+class HoldReason:
+    """Why an order waits. `affects_others`: orders behind it wait for the same, and do not overtake it."""
 
     why: str
-    shared: bool = False
+    affects_others: bool = False
 
 
 def queue(orders: Orders, kind: str) -> list[Order]:
-    """What waits, in the order in which it is settled."""
+    """Waiting orders by priority, then by request."""
     waiting = [order for order in orders.open if order.kind == kind and order.state == "waiting"]
     return sorted(waiting, key=lambda order: (-order.priority, order.id))
 
 
-def hold(order: Order, orders: Orders, plan: MaintenanceSettings, sight: FleetState) -> Hold | None:
-    """None: a waiting order may start now, as far as it alone is concerned."""
-    if sight.now < order.opens:
-        return Hold(f"its window opens in {order.opens - sight.now:.0f} s")
-    if sight.now >= order.closes:
-        return Hold("its window is over: cancel it, and ask again")
-    barred = orders.excluded(order.kind)
+def hold_reason(
+    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+) -> HoldReason | None:
+    """Why a waiting order may not start, regardless of those ahead of it; None if it may."""
+    if fleet_state.now < order.opens:
+        return HoldReason(f"its window opens in {order.opens - fleet_state.now:.0f} s")
+    if fleet_state.now >= order.closes:
+        return HoldReason("its window is over: cancel it, and ask again")
+    excluded = orders.excluded(order.kind)
     if order.kind == SERVER:
-        return _hold_server(order.machine, barred, plan, sight)
-    return _hold_controller(order.machine, barred, plan, sight)
-
-
-def _hold_server(
-    server: str, barred: frozenset[str], plan: MaintenanceSettings, sight: FleetState
-) -> Hold | None:
-    if server not in sight.servers:
-        return Hold(f"{server} is not among the servers that the configuration has ready")
-    if len(barred) >= plan.max_out:
-        return Hold(f"{_named(barred)} out or leaving, and max_out is {plan.max_out}", shared=True)
-    if server in sight.failed:
-        return None  # it gives nothing now: the fleet bears its going
-    serving = sight.servers - barred - sight.failed - sight.pressed - {server}
-    absent = sight.failed | sight.pressed - {server}
-    more = f" ({_named(absent)} failed or avoided)" if absent else ""
-    for group in (Group("all servers", sight.servers), *plan.groups):
+        return _server_hold_reason(order.machine, excluded, settings, fleet_state)
+    return _controller_hold_reason(order.machine, excluded, settings, fleet_state)
+
+
+def _server_hold_reason(
+    server: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: FleetState
+) -> HoldReason | None:
+    if server not in fleet_state.servers:
+        return HoldReason(f"{server} is not among the servers that the configuration has ready")
+    if len(excluded) >= settings.max_out:
+        return HoldReason(
+            f"{_name_list(excluded)} out or leaving, and max_out is {settings.max_out}", affects_others=True
+        )
+    if server in fleet_state.failed:
+        return None  # it provides no capacity, so taking it out loses none
+    serving = fleet_state.servers - excluded - fleet_state.failed - fleet_state.avoided - {server}
+    absent = fleet_state.failed | fleet_state.avoided - {server}
+    absent_note = f" ({_name_list(absent)} failed or avoided)" if absent else ""
+    for group in (Group("all servers", fleet_state.servers), *settings.groups):
         if server in group.servers and not group.servers & serving:
-            return Hold(f"it is the last server in service of {group.name}{more}")
-    left = sum(plan.capacity.get(name, 1.0) for name in serving)
-    if left < plan.floor:
-        why = f"it would leave a capacity of {left:g}, and the floor is {plan.floor:g}{more}"
-        return Hold(why, shared=True)
+            return HoldReason(f"it is the last server in service of {group.name}{absent_note}")
+    remaining_capacity = sum(settings.capacity.get(name, 1.0) for name in serving)
+    if remaining_capacity < settings.floor:
+        why = (
+            f"it would leave a capacity of {remaining_capacity:g}, "
+            f"and the floor is {settings.floor:g}{absent_note}"
+        )
+        return HoldReason(why, affects_others=True)
     return None
 
 
-def _hold_controller(
-    name: str, barred: frozenset[str], plan: MaintenanceSettings, sight: FleetState
-) -> Hold | None:
-    if name not in sight.controllers:
-        return Hold(f"{name} is no member")
-    if len(barred) >= plan.max_out_controllers:
-        why = f"{_named(barred)} out or leaving, and max_out_controllers is {plan.max_out_controllers}"
-        return Hold(why, shared=True)
-    left = len(sight.live - barred - {name})
-    majority = len(sight.controllers) // 2 + 1
-    if left < majority:
-        return Hold(f"it would leave {left} live controllers, and a majority is {majority}", shared=True)
+def _controller_hold_reason(
+    name: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: FleetState
+) -> HoldReason | None:
+    if name not in fleet_state.controllers:
+        return HoldReason(f"{name} is no member")
+    if len(excluded) >= settings.max_out_controllers:
+        why = (
+            f"{_name_list(excluded)} out or leaving, "
+            f"and max_out_controllers is {settings.max_out_controllers}"
+        )
+        return HoldReason(why, affects_others=True)
+    remaining_live = len(fleet_state.live - excluded - {name})
+    majority = len(fleet_state.controllers) // 2 + 1
+    if remaining_live < majority:
+        return HoldReason(
+            f"it would leave {remaining_live} live controllers, and a majority is {majority}",
+            affects_others=True,
+        )
     return None
 
 
-def _named(names: frozenset[str]) -> str:
+def _name_list(names: frozenset[str]) -> str:
+    """The names with the verb that agrees with them."""
     return f"{', '.join(sorted(names))} {'is' if len(names) == 1 else 'are'}"
 
 
-def why(order: Order, orders: Orders, plan: MaintenanceSettings, sight: FleetState) -> str:
-    """Why an order is not further than it is; empty if nothing holds it."""
+def why(order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState) -> str:
+    """Why an order does not advance; empty if nothing holds it back."""
     if order.state == "waiting":
-        if found := hold(order, orders, plan, sight):
-            return found.why
+        if reason := hold_reason(order, orders, settings, fleet_state):
+            return reason.why
         for ahead in queue(orders, order.kind):
             if ahead.id == order.id:
                 return ""
-            if (found := hold(ahead, orders, plan, sight)) and not found.shared:
+            if (reason := hold_reason(ahead, orders, settings, fleet_state)) and not reason.affects_others:
                 continue
             return f"order {ahead.id} ({ahead.machine}) goes first"
     if order.state == "leaving":
-        return _unsettled(order, sight)
+        return _leaving_hold_reason(order, fleet_state)
     return ""
 
 
-def _unsettled(order: Order, sight: FleetState) -> str:
-    """What a leaving order still waits for."""
-    if waits := sight.waits(order.index):
-        return f"not confirmed by {', '.join(sorted(waits))}"
+def _leaving_hold_reason(order: Order, fleet_state: FleetState) -> str:
+    """What a leaving order still waits for; empty if nothing."""
+    if unconfirmed_by := fleet_state.waits(order.index):
+        return f"not confirmed by {', '.join(sorted(unconfirmed_by))}"
     if order.kind == CONTROLLER:
-        if order.machine == sight.name:
+        if order.machine == fleet_state.name:
             return f"{order.machine} leads, and hands over first"
-        if order.machine in sight.live and not order.idle:
+        if order.machine in fleet_state.live and not order.idle:
             return f"{order.machine} has calls under way"
     return ""
 
 
-def moves(orders: Orders, plan: MaintenanceSettings, sight: FleetState) -> Iterator[AdvanceOrder]:
-    """What may be done now, best first; each decided on `orders` as they are, so that one may be taken."""
+def due_advances(
+    orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+) -> Iterator[AdvanceOrder]:
+    """Possible advances, in order of preference; only one may be proposed, as each assumes `orders`."""
     for order in orders.open:
-        if order.state == "leaving" and not _unsettled(order, sight):
-            gone = tuple(name for name in sight.controllers if name not in sight.live)
-            yield _move(order, "out", orders, sight, gone)
+        if order.state == "leaving" and not _leaving_hold_reason(order, fleet_state):
+            gone = tuple(name for name in fleet_state.controllers if name not in fleet_state.live)
+            yield _advance(order, "out", orders, fleet_state, gone)
     for kind in (SERVER, CONTROLLER):
         for order in queue(orders, kind):
-            found = hold(order, orders, plan, sight)
-            if found is None:
-                yield _move(order, "leaving", orders, sight)
+            reason = hold_reason(order, orders, settings, fleet_state)
+            if reason is None:
+                yield _advance(order, "leaving", orders, fleet_state)
                 break
-            if found.shared:
+            if reason.affects_others:
                 break
 
 
-def _move(
-    order: Order, to: str, orders: Orders, sight: FleetState, gone: tuple[str, ...] = ()
+def _advance(
+    order: Order, to: str, orders: Orders, fleet_state: FleetState, gone: tuple[str, ...] = ()
 ) -> AdvanceOrder:
-    return AdvanceOrder(order.id, to, orders.version, sight.revision, sight.name, sight.now, gone)
+    return AdvanceOrder(
+        order.id, to, orders.version, fleet_state.revision, fleet_state.name, fleet_state.now, gone
+    )
 
 
-def seats(orders: Orders, sight: FleetState) -> Iterator[SetControllerState]:
-    """Changes of the list of controllers that are due."""
-    for name in sight.controllers:
-        known = orders.controller_states.get(name)
-        absent = "joining" if known in (None, "joining") else "gone"
-        wanted = "serving" if name in sight.live else absent
-        if wanted != known:
-            yield SetControllerState(name, wanted, orders.version, sight.now)
+def controller_state_changes(orders: Orders, fleet_state: FleetState) -> Iterator[SetControllerState]:
+    """Due changes of the states of controllers, from the leases and the membership."""
+    for name in fleet_state.controllers:
+        current = orders.controller_states.get(name)
+        state_without_lease = "joining" if current in (None, "joining") else "gone"
+        wanted = "serving" if name in fleet_state.live else state_without_lease
+        if wanted != current:
+            yield SetControllerState(name, wanted, orders.version, fleet_state.now)
     for name in orders.controller_states:
-        if name not in sight.controllers:
-            yield SetControllerState(name, "", orders.version, sight.now)
+        if name not in fleet_state.controllers:
+            yield SetControllerState(name, "", orders.version, fleet_state.now)
 
 
 def decide(
-    orders: Orders, plan: MaintenanceSettings, sight: FleetState
+    orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
 ) -> AdvanceOrder | SetControllerState | None:
-    """The one thing to propose now; None: nothing is due."""
-    return next(seats(orders, sight), None) or next(moves(orders, plan, sight), None)
+    """The command to propose now; None if nothing is due."""
+    return next(controller_state_changes(orders, fleet_state), None) or next(
+        due_advances(orders, settings, fleet_state), None
+    )
--- a/harepick/fleet/membership/__init__.py
+++ b/harepick/fleet/membership/__init__.py
@@ -1,5 +1,7 @@
-"""Which instances the store counts on: the fleet drops voters that are lost, and takes them back.
-`docs/design/membership.md`."""
+"""Automatic membership of the store: lost voters are dropped, and added again when they return.
+
+`docs/design/membership.md`.
+"""
 
 from harepick.fleet.membership.absences import (
     AbsenceList,
--- a/harepick/fleet/membership/absences.py
+++ b/harepick/fleet/membership/absences.py
@@ -1,8 +1,7 @@
-"""The roster of absent members: who was dropped from the voters, where it was, and how far that has come.
-Replicated, pure.
+"""The list of absent members: which were dropped, their addresses and states. Replicated, pure.
 
-The members themselves are the consensus core's (`store/raft/`). Dropping one and taking it back are several
-steps, and whoever leads may be lost between any two of them; so each is written down before it is made.
+The members themselves are kept by Raft (`store/raft/`). Dropping a member and adding it again take several
+steps, and the leader may be lost between any two of them; so each step is recorded here before it is made.
 """
 
 from __future__ import annotations
@@ -10,93 +9,97 @@
 from msgspec import Struct, field
 
 LEAVING, DROPPED, RETURNING = "leaving", "dropped", "returning"
-PRESENT = ""  # not on the roster
-NEXT = {
+PRESENT = ""  # not in the list
+NEXT_STATES = {
     PRESENT: (LEAVING,),
     LEAVING: (DROPPED, PRESENT),
     DROPPED: (RETURNING, PRESENT),
     RETURNING: (LEAVING, PRESENT),
 }
-MOST = 64  # absent at once
-MAX_TEXT = 500
+MAX_ABSENT = 64  # absent members at once
+MAX_TEXT_LENGTH = 500  # characters of a reason or a proposer's name
 
 
 class SetMemberState(Struct, frozen=True, tag="mark"):
-    """An instance goes on to `state`, decided on the roster of version `expect`."""
+    """Sets the state of an instance; refused unless `expect` is the version of the list."""
 
     instance: str
     state: str
     expect: int
     by: str = ""
     why: str = ""
-    address: str = ""  # of the store's port, told as it leaves
-    at: float = 0.0  # the proposer's Unix time, for readers alone
+    address: str = ""  # of the store's port, set when it leaves
+    at: float = 0.0  # the proposer's Unix time, for information only
 
 
 class AbsentMember(Struct, frozen=True):
+    """A member that is being dropped, was dropped, or is being added again."""
+
     instance: str
     state: str
     address: str
     by: str
     why: str
     at: float
-    version: int  # of the roster, when it came to this state
+    version: int  # of the list, when this state was entered
 
 
 class AbsenceListState(Struct):
-    """All that a snapshot holds."""
+    """The list as written to a snapshot."""
 
     version: int = 0
     absent: list[AbsentMember] = field(default_factory=list)
 
 
 class RefusedMemberStateError(ValueError):
-    """A step that changes nothing; the text says why."""
+    """A command was refused and changed nothing; the text is the reason."""
 
 
 class AbsenceList:
-    """Owns the roster; `apply` is the one way to change it."""
+    """The list of absent members; only `apply` changes it."""
 
     def __init__(self, state: AbsenceListState | None = None) -> None:
         state = state or AbsenceListState()
         self.version = state.version
-        self._absent = {row.instance: row for row in state.absent}
+        self._absent = {member.instance: member for member in state.absent}
 
     def dump(self) -> AbsenceListState:
+        """The state for a snapshot."""
         return AbsenceListState(self.version, list(self._absent.values()))
 
     @property
     def absent(self) -> list[AbsentMember]:
-        """In the order in which they were put on the roster."""
+        """In the sequence in which they were added to the list."""
         return list(self._absent.values())
 
     def get(self, instance: str) -> AbsentMember | None:
+        """The entry of an instance, or None if it is not absent."""
         return self._absent.get(instance)
 
-    def apply(self, mark: SetMemberState) -> None:
-        """Raises `RefusedMemberStateError`, changing nothing."""
-        if mark.expect != self.version:
+    def apply(self, command: SetMemberState) -> None:
+        """Applies a command. Raises `RefusedMemberStateError`, changing nothing."""
+        if command.expect != self.version:
             raise RefusedMemberStateError(
-                f"decided on version {mark.expect} of the roster, and it is {self.version}"
+                f"decided on version {command.expect} of the roster, and it is {self.version}"
             )
-        known = self._absent.get(mark.instance)
-        before = known.state if known else PRESENT
-        if mark.state not in NEXT[before]:
+        current = self._absent.get(command.instance)
+        state_before = current.state if current else PRESENT
+        if command.state not in NEXT_STATES[state_before]:
             raise RefusedMemberStateError(
-                f"{mark.instance} is {before or 'present'}: it does not become {mark.state}"
+                f"{command.instance} is {state_before or 'present'}: it does not become {command.state}"
             )
-        if known is None and len(self._absent) >= MOST:
-            raise RefusedMemberStateError(f"{MOST} are absent: forget some first")
+        if current is None and len(self._absent) >= MAX_ABSENT:
+            raise RefusedMemberStateError(f"{MAX_ABSENT} are absent: forget some first")
         self.version += 1
-        if mark.state == PRESENT:
-            del self._absent[mark.instance]
+        if command.state == PRESENT:
+            del self._absent[command.instance]
             return
-        self._absent[mark.instance] = AbsentMember(
-            instance=mark.instance,
-            state=mark.state,
-            address=known.address if known else mark.address,
-            by=mark.by[:MAX_TEXT],
-            why=mark.why[:MAX_TEXT],
-            at=mark.at,
+        self._absent[command.instance] = AbsentMember(
+            instance=command.instance,
+            state=command.state,
+            address=current.address if current else command.address,
+            by=command.by[:MAX_TEXT_LENGTH],
+            why=command.why[:MAX_TEXT_LENGTH],
+            at=command.at,
             version=self.version,
         )
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -1,7 +1,8 @@
-"""The rule: which voter is dropped, and who is taken back. Pure: roster, plan and sight in, one step out.
+"""The membership policy: which voter is dropped, and which instance is added again. Pure.
 
-`docs/design/membership.md` has the rule in words. Whoever leads evaluates it. A mark takes effect only if the
-roster is still the one that it saw; a change of the members only if no other is under way (`raft/core.py`).
+From the absent members, the settings and the state of the fleet it derives one step. The leader evaluates it.
+A `SetMemberState` takes effect only if the list of absent members has not changed since; a change of the
+members only if no other is in progress (`raft/core.py`). `docs/design/membership.md` describes the policy.
 """
 
 from __future__ import annotations
@@ -25,39 +26,46 @@
     """`[membership]`."""
 
     drop_after: float = 0.0  # seconds without a lease after which a voter is dropped; 0: never
-    keep: int = 3  # voters that stay, whoever is lost
+    keep: int = 3  # least number of voters; none is dropped below it
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
+    """A member of the store as Raft knows it."""
+
     address: str
     voter: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """What the leader sees, at one moment."""
+    """The leader's view of the fleet at one moment."""
 
-    name: str  # its own
-    now: float  # Unix time, for readers alone
-    settled: bool  # no change of the members is under way
+    name: str  # the leader
+    now: float  # Unix time, for information only
+    membership_committed: bool  # no change of the members is in progress
     members: Mapping[str, Member]
-    gone: Mapping[str, float]  # members that hold no lease -> for how long, by this leader's clock
-    rejoining: frozenset[str]  # no members, heard lately, with the folder that was known of them
-    in_maintenance: frozenset[str]  # out for work, or on the way: they are expected back
+    without_lease: Mapping[str, float]  # member without a lease -> seconds, by the leader's clock
+    rejoining: frozenset[str]  # non-members that recently tried to connect, with their old data folder
+    in_maintenance: frozenset[str]  # under a maintenance order: they are expected to return
 
     @property
     def voters(self) -> frozenset[str]:
+        """Names of the voting members."""
         return frozenset(name for name, member in self.members.items() if member.voter)
 
 
 @dataclass(frozen=True, slots=True)
 class Remove:
+    """Removes a member from the store."""
+
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class Add:
+    """Adds an instance to the store as a learner, which Raft promotes to a voter."""
+
     instance: str
     address: str
 
@@ -65,71 +73,77 @@
 Step = SetMemberState | Remove | Add
 
 
-def removal_blocker(name: str, plan: MembershipSettings, sight: FleetState) -> str:
-    """Why a member may not be dropped; empty if it may."""
-    if name == sight.name:
+def removal_blocker(name: str, settings: MembershipSettings, fleet_state: FleetState) -> str:
+    """Why a member may not be dropped; empty if it may be."""
+    if name == fleet_state.name:
         return "it leads"
-    if name in sight.in_maintenance:
+    if name in fleet_state.in_maintenance:
         return "it is out for work"
-    if name not in sight.members or not sight.members[name].voter:
-        return ""  # a learner has no part in any majority
-    left = sight.voters - {name}
-    if len(left) < plan.keep:
-        return f"{len(left)} voters would be left, and keep is {plan.keep}"
-    alive = len(left - sight.gone.keys())
-    if alive < len(left) // 2 + 1:
-        return f"{alive} of {len(left)} voters would be alive, and that is no majority"
+    if name not in fleet_state.members or not fleet_state.members[name].voter:
+        return ""  # a learner does not count in any majority
+    remaining_voters = fleet_state.voters - {name}
+    if len(remaining_voters) < settings.keep:
+        return f"{len(remaining_voters)} voters would be left, and keep is {settings.keep}"
+    alive = len(remaining_voters - fleet_state.without_lease.keys())
+    if alive < len(remaining_voters) // 2 + 1:
+        return f"{alive} of {len(remaining_voters)} voters would be alive, and that is no majority"
     return ""
 
 
-def _mark(
-    absent: AbsentMember, state: str, why: str, roster: AbsenceList, sight: FleetState
+def _set_state(
+    absent: AbsentMember, state: str, why: str, absences: AbsenceList, fleet_state: FleetState
 ) -> SetMemberState:
-    return SetMemberState(absent.instance, state, roster.version, sight.name, why, at=sight.now)
+    return SetMemberState(absent.instance, state, absences.version, fleet_state.name, why, at=fleet_state.now)
 
 
-def _further(
-    absent: AbsentMember, roster: AbsenceList, plan: MembershipSettings, sight: FleetState
+def _next_step(
+    absent: AbsentMember, absences: AbsenceList, settings: MembershipSettings, fleet_state: FleetState
 ) -> Step | None:
-    """The next step of one that is on the roster."""
-    name, member = absent.instance, sight.members.get(absent.instance)
+    """The next step of an absent member."""
+    name, member = absent.instance, fleet_state.members.get(absent.instance)
     if absent.state == LEAVING:
         if member is None:
-            return _mark(absent, DROPPED, absent.why, roster, sight)
-        if name not in sight.gone:
-            return _mark(absent, PRESENT, "it is back", roster, sight)
-        if why := removal_blocker(name, plan, sight):
-            return _mark(absent, PRESENT, why, roster, sight)
+            return _set_state(absent, DROPPED, absent.why, absences, fleet_state)
+        if name not in fleet_state.without_lease:
+            return _set_state(absent, PRESENT, "it is back", absences, fleet_state)
+        if why := removal_blocker(name, settings, fleet_state):
+            return _set_state(absent, PRESENT, why, absences, fleet_state)
         return Remove(name)
     if absent.state == DROPPED:
         if member is not None:
-            return _mark(absent, PRESENT, "it was added by hand", roster, sight)
-        if name in sight.rejoining:
-            return _mark(absent, RETURNING, "it came back with its folder", roster, sight)
+            return _set_state(absent, PRESENT, "it was added by hand", absences, fleet_state)
+        if name in fleet_state.rejoining:
+            return _set_state(absent, RETURNING, "it came back with its folder", absences, fleet_state)
         return None
     if member is None:
         return Add(name, absent.address)
     if member.voter:
-        return _mark(absent, PRESENT, "it votes again", roster, sight)
-    if plan.drop_after and sight.gone.get(name, 0.0) >= plan.drop_after:
-        return _mark(absent, LEAVING, "it went away again before it had caught up", roster, sight)
+        return _set_state(absent, PRESENT, "it votes again", absences, fleet_state)
+    if settings.drop_after and fleet_state.without_lease.get(name, 0.0) >= settings.drop_after:
+        return _set_state(
+            absent, LEAVING, "it went away again before it had caught up", absences, fleet_state
+        )
     return None
 
 
-def decide(roster: AbsenceList, plan: MembershipSettings, sight: FleetState) -> Step | None:
-    """The one thing to do now; None: nothing is due. What was begun comes to its end first."""
-    if not sight.settled:
+def decide(absences: AbsenceList, settings: MembershipSettings, fleet_state: FleetState) -> Step | None:
+    """The step to make now; None if nothing is due. Started changes are completed first."""
+    if not fleet_state.membership_committed:
         return None
-    for absent in roster.absent:
-        if step := _further(absent, roster, plan, sight):
+    for absent in absences.absent:
+        if step := _next_step(absent, absences, settings, fleet_state):
             return step
-    if not plan.drop_after or any(row.state == LEAVING for row in roster.absent):
+    if not settings.drop_after or any(entry.state == LEAVING for entry in absences.absent):
         return None
-    for name, span in sorted(sight.gone.items(), key=lambda row: (-row[1], row[0])):
-        if name not in sight.voters or roster.get(name) or span < plan.drop_after:
+    for name, duration in sorted(
+        fleet_state.without_lease.items(), key=lambda absent: (-absent[1], absent[0])
+    ):
+        if name not in fleet_state.voters or absences.get(name) or duration < settings.drop_after:
             continue
-        if not removal_blocker(name, plan, sight):
-            why = f"no lease for {span:.1f} s"
-            address = sight.members[name].address
-            return SetMemberState(name, LEAVING, roster.version, sight.name, why, address, sight.now)
+        if not removal_blocker(name, settings, fleet_state):
+            why = f"no lease for {duration:.1f} s"
+            address = fleet_state.members[name].address
+            return SetMemberState(
+                name, LEAVING, absences.version, fleet_state.name, why, address, fleet_state.now
+            )
     return None
--- a/harepick/fleet/readiness.py
+++ b/harepick/fleet/readiness.py
@@ -1,6 +1,6 @@
-"""What callers know of the instances' readiness: `GET /api/ready` of each, asked again and again.
+"""The instances' readiness as callers see it: `GET /api/ready` of each instance, polled.
 
-Callers of an instance that says no, or nothing, go to one that says yes; with none, they stay.
+Callers of an instance that is not ready or does not answer move to a ready one; if there is none, they stay.
 """
 
 from __future__ import annotations
@@ -13,47 +13,50 @@
 from harepick.fleet.history import Recorder
 from harepick.fleet.ports import HOST
 
-EVERY = 0.1  # seconds between two questions to one instance
-WITHIN = 0.5  # for an answer; none is a no
-CALL = b"GET /api/ready HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n"
-YES = b"HTTP/1.1 200"
+POLL_INTERVAL_S = 0.1  # between two requests to one instance
+ANSWER_TIMEOUT_S = 0.5  # an instance that does not answer in time is not ready
+READY_REQUEST = b"GET /api/ready HTTP/1.1\r\nHost: ops\r\nConnection: close\r\n\r\n"
+READY_RESPONSE = b"HTTP/1.1 200"
 
 
 class Readiness:
-    """Owns what each instance said last."""
+    """The last known readiness of each instance."""
 
     def __init__(self, ports: Mapping[str, int], history: Recorder) -> None:
-        """`ports`: of the ops listeners, by instance."""
+        """`ports`: ports of the ops listeners, by instance."""
         self._ports, self._history = dict(ports), history
         self._ready = dict.fromkeys(ports, True)
 
     def choose(self, home: str, count: int) -> tuple[str, bool]:
-        """Where the `count`-th call of `home`'s callers goes, and whether that one said that it is ready."""
+        """The instance for the `count`-th call of `home`'s callers, and whether it is ready."""
         if self._ready[home]:
             return home, True
-        able = [name for name, ready in self._ready.items() if ready]
-        return (able[count % len(able)], True) if able else (home, False)
+        ready_instances = [name for name, ready in self._ready.items() if ready]
+        return (ready_instances[count % len(ready_instances)], True) if ready_instances else (home, False)
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Polls all instances until cancelled."""
         async with anyio.create_task_group() as tasks:
             for name in self._ports:
-                tasks.start_soon(self._watch, name)
+                tasks.start_soon(self._poll, name)
 
-    async def _watch(self, name: str) -> None:
+    async def _poll(self, name: str) -> None:
         while True:
-            ready = await self._ask(self._ports[name])
+            ready = await self._query(self._ports[name])
             if ready != self._ready[name]:
                 self._ready[name] = ready
                 self._history.note("ready", whom=name, ready=ready)
-            await anyio.sleep(EVERY)
-
-    async def _ask(self, port: int) -> bool:
-        with suppress(OSError, anyio.EndOfStream, anyio.BrokenResourceError), anyio.move_on_after(WITHIN):
-            async with await anyio.connect_tcp(HOST, port) as stream:
-                await stream.send(CALL)
-                data = b""
-                while len(data) < len(YES):
-                    data += await stream.receive(1024)
-                return data.startswith(YES)
+            await anyio.sleep(POLL_INTERVAL_S)
+
+    async def _query(self, port: int) -> bool:
+        with (
+            suppress(OSError, anyio.EndOfStream, anyio.BrokenResourceError),
+            anyio.move_on_after(ANSWER_TIMEOUT_S),
+        ):
+            async with await anyio.connect_tcp(HOST, port) as connection:
+                await connection.send(READY_REQUEST)
+                response = b""
+                while len(response) < len(READY_RESPONSE):
+                    response += await connection.receive(1024)
+                return response.startswith(READY_RESPONSE)
         return False
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -303,11 +303,11 @@
             return None
         verdicts = self.replica.node.state_machine.verdicts
         return MaintenanceInputs(
-            plan=config.maintenance or MaintenanceSettings(),
+            settings=config.maintenance or MaintenanceSettings(),
             revision=self._revision,
             servers=frozenset(u.name for u in config.upstreams if not u.draining),
             failed=self._honoured & verdicts.subjects(FAILED),
-            pressed=self._honoured & verdicts.subjects(OVERLOADED),
+            overloaded=self._honoured & verdicts.subjects(OVERLOADED),
             idle=self._handing_over() == CLOSED and self.front.idle,
         )
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members that are dropped and taken back: the roster and the rule without I/O, and real instances."""
+"""Members that are dropped and added again: list and policy without I/O, and real instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from harepick.fleet.membership.absences import (
     DROPPED,
     LEAVING,
-    MOST,
+    MAX_ABSENT,
     RETURNING,
     AbsenceList,
     RefusedMemberStateError,
@@ -37,88 +37,98 @@
 from harepick.store.state_machine import Envelope, Refused, StateMachine, StepApplied, encode
 
 NAMES = "abcde"
-PLAN = MembershipSettings(drop_after=5.0, keep=3)
+SETTINGS = MembershipSettings(drop_after=5.0, keep=3)
 
 
-def sight(members: str = NAMES, **changes: Any) -> FleetState:
+def fleet_state(members: str = NAMES, **changes: Any) -> FleetState:
     rows = {name: Member(f"at-{name}", True) for name in members}
     base = FleetState("a", 100.0, True, rows, {}, frozenset(), frozenset())
     return replace(base, **changes)
 
 
-def steps(roster: AbsenceList, seen: FleetState, plan: MembershipSettings = PLAN) -> list[str]:
-    """What the rule does one after another, carried out as the consensus core would."""
-    told: list[str] = []
-    while (step := decide(roster, plan, seen)) and len(told) < 20:
+def steps(
+    absences: AbsenceList, observed: FleetState, policy_settings: MembershipSettings = SETTINGS
+) -> list[str]:
+    """The steps of the policy in sequence, executed as Raft would."""
+    executed: list[str] = []
+    while (step := decide(absences, policy_settings, observed)) and len(executed) < 20:
         match step:
             case SetMemberState(instance, state):
-                roster.apply(step)
-                told.append(f"{instance} {state or 'present'}")
+                absences.apply(step)
+                executed.append(f"{instance} {state or 'present'}")
             case Remove(instance):
-                rest = {n: m for n, m in seen.members.items() if n != instance}
-                gone = {n: s for n, s in seen.gone.items() if n != instance}
-                seen = replace(seen, members=rest, gone=gone)
-                told.append(f"remove {instance}")
+                rest = {n: m for n, m in observed.members.items() if n != instance}
+                without_lease = {n: s for n, s in observed.without_lease.items() if n != instance}
+                observed = replace(observed, members=rest, without_lease=without_lease)
+                executed.append(f"remove {instance}")
             case Add(instance, address):
-                seen = replace(seen, members={**seen.members, instance: Member(address, False)})
-                told.append(f"add {instance} {address}")
-    return told
+                observed = replace(observed, members={**observed.members, instance: Member(address, False)})
+                executed.append(f"add {instance} {address}")
+    return executed
 
 
-def test_two_of_five_are_dropped_one_after_another_and_no_more() -> None:
-    roster = AbsenceList()
-    found = steps(roster, sight(gone={"d": 6.0, "e": 7.0}))
+def test_two_of_five_voters_are_dropped_in_turn_and_no_third() -> None:
+    absences = AbsenceList()
+    found = steps(absences, fleet_state(without_lease={"d": 6.0, "e": 7.0}))
     assert found == ["e leaving", "remove e", "e dropped", "d leaving", "remove d", "d dropped"]
-    # A third one that is lost stays: with two voters either's loss would stop the store.
-    assert not steps(roster, sight("abc", gone={"c": 99.0}))
-    assert "2 voters would be left" in removal_blocker("c", PLAN, sight("abc", gone={"c": 99.0}))
-
-
-def test_nobody_is_dropped_early_at_work_leading_or_where_it_leaves_no_majority_alive() -> None:
-    assert not steps(AbsenceList(), sight(gone={"e": 4.9}))
-    assert not steps(AbsenceList(), sight(gone={"e": 9.0}), MembershipSettings())
-    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, in_maintenance=frozenset("e")))
-    assert not steps(AbsenceList(), sight(gone={"e": 9.0}, settled=False))
-    assert "no majority" in removal_blocker("e", PLAN, sight(gone={"c": 9.0, "d": 9.0, "e": 9.0}))
-    assert removal_blocker("a", PLAN, sight()) == "it leads"
-
-
-def test_one_that_comes_back_is_added_under_its_old_address_and_votes_again() -> None:
-    roster = AbsenceList()
-    steps(roster, sight(gone={"e": 6.0}))
-    rest = sight("abcd")
-    assert not steps(roster, rest), "it has not come back"
-    assert steps(roster, replace(rest, rejoining=frozenset("ex"))) == ["e returning", "add e at-e"]
-    learner = replace(rest, members={**rest.members, "e": Member("at-e", False)})
-    assert not steps(roster, learner), "it learns"
-    away = replace(learner, gone={"e": 5.0})
-    assert steps(roster, away) == ["e leaving", "remove e", "e dropped"], "it went away again"
-    assert steps(roster, replace(rest, rejoining=frozenset("e"))) == ["e returning", "add e at-e"]
-    assert steps(roster, sight()) == ["e present"] and not roster.absent
+    # A third lost voter stays: with two voters, the loss of either would stop the store.
+    assert not steps(absences, fleet_state("abc", without_lease={"c": 99.0}))
+    assert "2 voters would be left" in removal_blocker(
+        "c", SETTINGS, fleet_state("abc", without_lease={"c": 99.0})
+    )
+
+
+def test_members_that_must_not_be_dropped() -> None:
+    assert not steps(AbsenceList(), fleet_state(without_lease={"e": 4.9}))
+    assert not steps(AbsenceList(), fleet_state(without_lease={"e": 9.0}), MembershipSettings())
+    assert not steps(AbsenceList(), fleet_state(without_lease={"e": 9.0}, in_maintenance=frozenset("e")))
+    assert not steps(AbsenceList(), fleet_state(without_lease={"e": 9.0}, membership_committed=False))
+    assert "no majority" in removal_blocker(
+        "e", SETTINGS, fleet_state(without_lease={"c": 9.0, "d": 9.0, "e": 9.0})
+    )
+    assert removal_blocker("a", SETTINGS, fleet_state()) == "it leads"
 
 
-def test_a_leader_lost_between_two_steps_leaves_what_the_next_one_can_end() -> None:
-    roster = AbsenceList()
-    mark = decide(roster, PLAN, sight(gone={"e": 6.0}))
-    assert isinstance(mark, SetMemberState)
-    roster.apply(mark)
-    assert steps(roster, sight()) == ["e present"], "it is back before it was removed"
-    roster.apply(replace_expect(mark, roster))
-    assert steps(roster, sight(gone={"c": 6.0, "d": 6.0, "e": 6.0})) == ["e present"], "too many are gone now"
-    roster.apply(replace_expect(mark, roster))
-    assert steps(roster, sight("abcd")) == ["e dropped"], "removed, and not written down"
-    assert steps(roster, sight()) == ["e present"], "added by hand meanwhile"
+def test_a_returning_member_is_added_under_its_old_address_and_votes_again() -> None:
+    absences = AbsenceList()
+    steps(absences, fleet_state(without_lease={"e": 6.0}))
+    rest = fleet_state("abcd")
+    assert not steps(absences, rest), "it has not returned"
+    assert steps(absences, replace(rest, rejoining=frozenset("ex"))) == ["e returning", "add e at-e"]
+    learner = replace(rest, members={**rest.members, "e": Member("at-e", False)})
+    assert not steps(absences, learner), "it is still a learner"
+    away = replace(learner, without_lease={"e": 5.0})
+    assert steps(absences, away) == ["e leaving", "remove e", "e dropped"], "it was lost again"
+    assert steps(absences, replace(rest, rejoining=frozenset("e"))) == ["e returning", "add e at-e"]
+    assert steps(absences, fleet_state()) == ["e present"] and not absences.absent
+
+
+def test_the_next_leader_completes_the_steps_of_a_lost_one() -> None:
+    absences = AbsenceList()
+    command = decide(absences, SETTINGS, fleet_state(without_lease={"e": 6.0}))
+    assert isinstance(command, SetMemberState)
+    absences.apply(command)
+    assert steps(absences, fleet_state()) == ["e present"], "it returned before it was removed"
+    absences.apply(with_current_version(command, absences))
+    assert steps(absences, fleet_state(without_lease={"c": 6.0, "d": 6.0, "e": 6.0})) == ["e present"], (
+        "too many are without a lease now"
+    )
+    absences.apply(with_current_version(command, absences))
+    assert steps(absences, fleet_state("abcd")) == ["e dropped"], (
+        "it was removed, but not recorded as dropped"
+    )
+    assert steps(absences, fleet_state()) == ["e present"], "it was added by an operator meanwhile"
 
 
-def replace_expect(mark: SetMemberState, roster: AbsenceList) -> SetMemberState:
-    return SetMemberState(mark.instance, mark.state, roster.version, address=mark.address)
+def with_current_version(command: SetMemberState, absences: AbsenceList) -> SetMemberState:
+    return SetMemberState(command.instance, command.state, absences.version, address=command.address)
 
 
-def test_the_roster_takes_no_step_that_was_decided_on_another_one_or_out_of_order() -> None:
-    machine = StateMachine()
+def test_a_state_for_another_version_or_out_of_sequence_is_refused() -> None:
+    state_machine = StateMachine()
 
-    def apply(mark: SetMemberState) -> object:
-        return machine.apply(machine.applied + 1, encode(Envelope("", 0, mark)))
+    def apply(command: SetMemberState) -> object:
+        return state_machine.apply(state_machine.applied + 1, encode(Envelope("", 0, command)))
 
     assert apply(SetMemberState("e", LEAVING, 0, address="at-e")) == StepApplied(1)
     for wrong in (
@@ -130,13 +140,13 @@
         assert isinstance(apply(wrong), Refused)
     assert isinstance(apply(SetMemberState("e", DROPPED, 1)), StepApplied)
     copy = StateMachine()
-    copy.restore(machine.snapshot())
-    assert copy.absences.dump() == machine.absences.dump() and copy.absences.absent[0].address == "at-e"
-    roster = AbsenceList()
-    for n in range(MOST):
-        roster.apply(SetMemberState(f"x{n}", LEAVING, n))
+    copy.restore(state_machine.snapshot())
+    assert copy.absences.dump() == state_machine.absences.dump() and copy.absences.absent[0].address == "at-e"
+    absences = AbsenceList()
+    for n in range(MAX_ABSENT):
+        absences.apply(SetMemberState(f"x{n}", LEAVING, n))
     with pytest.raises(RefusedMemberStateError, match="forget some"):
-        roster.apply(SetMemberState("y", LEAVING, MOST))
+        absences.apply(SetMemberState("y", LEAVING, MAX_ABSENT))
 
 
 @pytest.mark.parametrize(
@@ -149,7 +159,7 @@
         ("keep = 3.5", "membership.keep"),
     ],
 )
-def test_a_faulty_plan_names_its_key(text: str, key: str) -> None:
+def test_a_faulty_membership_setting_is_named_in_the_error(text: str, key: str) -> None:
     shared = '[[upstream]]\nname = "s0"\naddress = "127.0.0.1:1"\n[membership]\n'
     with pytest.raises(SettingsError) as caught:
         read_store_config(shared + text)
@@ -157,90 +167,92 @@
     assert read_store_config(shared + "drop_after_s = 60\nkeep = 4").membership == MembershipSettings(60.0, 4)
 
 
-class Lives(RuleBasedStateMachine):
-    """Instances go and come in any order, some are at work, steps are lost: what always holds."""
+class MembershipLifecycle(RuleBasedStateMachine):
+    """Instances fail and return in any sequence, some are in maintenance, steps are lost: invariants."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.roster = AbsenceList()
+        self.absences = AbsenceList()
         self.members = {name: Member(f"at-{name}", True) for name in NAMES}
-        self.gone: dict[str, float] = {}
-        self.resting: frozenset[str] = frozenset()
+        self.without_lease: dict[str, float] = {}
+        self.in_maintenance: frozenset[str] = frozenset()
 
-    def seen(self) -> FleetState:
-        up = frozenset(NAMES) - self.gone.keys()
-        gone = {name: span for name, span in self.gone.items() if name in self.members}
-        knocking = up - self.members.keys()
-        return FleetState("a", 0.0, True, self.members, gone, knocking, self.resting)
+    def observed(self) -> FleetState:
+        up = frozenset(NAMES) - self.without_lease.keys()
+        without_lease = {name: span for name, span in self.without_lease.items() if name in self.members}
+        rejoining = up - self.members.keys()
+        return FleetState("a", 0.0, True, self.members, without_lease, rejoining, self.in_maintenance)
 
     @rule(name=st.sampled_from(NAMES[1:]))
-    def go_or_come(self, name: str) -> None:
-        if name in self.gone:
-            del self.gone[name]
+    def toggle_alive(self, name: str) -> None:
+        if name in self.without_lease:
+            del self.without_lease[name]
         else:
-            self.gone[name] = 0.0
+            self.without_lease[name] = 0.0
 
     @rule(span=st.floats(1.0, 9.0))
     def wait(self, span: float) -> None:
-        self.gone = {name: before + span for name, before in self.gone.items()}
+        self.without_lease = {name: before + span for name, before in self.without_lease.items()}
 
     @rule(name=st.sampled_from(NAMES[1:]))
-    def work(self, name: str) -> None:
-        self.resting = self.resting ^ {name}
+    def toggle_maintenance(self, name: str) -> None:
+        self.in_maintenance = self.in_maintenance ^ {name}
 
     @rule()
     def catch_up(self) -> None:
         for name, member in self.members.items():
-            if not member.voter and name not in self.gone:
+            if not member.voter and name not in self.without_lease:
                 self.members = {**self.members, name: Member(member.address, True)}
                 return
 
     @rule(lost=st.booleans())
     def step(self, lost: bool) -> None:
-        found = decide(self.roster, PLAN, self.seen())
+        found = decide(self.absences, SETTINGS, self.observed())
         if found is None or lost:
             return
         match found:
             case SetMemberState():
-                self.roster.apply(found)
+                self.absences.apply(found)
             case Remove(name):
                 voters = [n for n, m in self.members.items() if m.voter and n != name]
                 if self.members[name].voter:
-                    assert len(voters) >= PLAN.keep and name not in self.resting
-                    assert len([n for n in voters if n not in self.gone]) > len(voters) // 2
-                assert self.gone[name] >= 0.0 and name != "a"
+                    assert len(voters) >= SETTINGS.keep and name not in self.in_maintenance
+                    assert len([n for n in voters if n not in self.without_lease]) > len(voters) // 2
+                assert self.without_lease[name] >= 0.0 and name != "a"
                 self.members = {n: m for n, m in self.members.items() if n != name}
             case Add(name, address):
                 assert name not in self.members and address == f"at-{name}"
                 self.members = {**self.members, name: Member(address, False)}
 
     @invariant()
-    def whoever_is_no_member_is_on_the_roster_and_can_come_back(self) -> None:
+    def every_non_member_is_listed_as_absent_with_its_address(self) -> None:
         for name in set(NAMES) - self.members.keys():
-            known = self.roster.get(name)
+            known = self.absences.get(name)
             assert known and known.address == f"at-{name}"
 
     @invariant()
-    def with_all_there_all_come_to_vote_again(self) -> None:
-        roster, members = AbsenceList(self.roster.dump()), dict(self.members)
+    def all_vote_again_once_all_are_alive(self) -> None:
+        absences, members = AbsenceList(self.absences.dump()), dict(self.members)
         for _ in range(40):
-            seen = FleetState("a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset())
-            found = decide(roster, PLAN, seen)
+            observed = FleetState("a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset())
+            found = decide(absences, SETTINGS, observed)
             if isinstance(found, SetMemberState):
-                roster.apply(found)
+                absences.apply(found)
             elif isinstance(found, Add):
                 members[found.instance] = Member(found.address, True)
             else:
-                assert not isinstance(found, Remove), "one that is there was dropped"
+                assert not isinstance(found, Remove), "a live member was dropped"
                 members = {n: Member(m.address, True) for n, m in members.items()}
-        assert members.keys() == set(NAMES) and not roster.absent
+        assert members.keys() == set(NAMES) and not absences.absent
 
 
-TestLives = Lives.TestCase
-TestLives.settings = settings(max_examples=60, stateful_step_count=30, derandomize=True, deadline=None)
+TestMembershipLifecycle = MembershipLifecycle.TestCase
+TestMembershipLifecycle.settings = settings(
+    max_examples=60, stateful_step_count=30, derandomize=True, deadline=None
+)
 
-# Real instances: two of five are lost, then a third; then all come back.
-LOST = """
+# Real instances: two of five are lost, then a third; then all return.
+LOST_MEMBERS_SCENARIO = """
 instances = 5
 servers = 2
 lease_ms = 600
@@ -277,20 +289,22 @@
 """
 
 
-def play(folder: Path, text: str) -> tuple[Report, list[float]]:
-    """The report, and when changes were acknowledged that were begun while three of five were gone."""
+def run_scenario(folder: Path, text: str) -> tuple[Report, list[float]]:
+    """Returns the report, and the times of acknowledged changes that began while three of five were lost."""
     report = anyio.run(
-        ScenarioRunner(make_scenario(tomllib.loads(text), "lost"), 1, folder, beside=whole_again).run
+        ScenarioRunner(make_scenario(tomllib.loads(text), "lost"), 1, folder, beside=wait_for_all_members).run
     )
     begun = {e["note"]: e.mono - report.start for e in report.events if e.event == "change"}
-    acks = [e.mono - report.start for e in report.events if e.event == "acked" and begun[e["note"]] > 7.6]
-    return report, [at for at in acks if at < 11.0]
+    acknowledged_at = [
+        e.mono - report.start for e in report.events if e.event == "acked" and begun[e["note"]] > 7.6
+    ]
+    return report, [at for at in acknowledged_at if at < 11.0]
 
 
-async def whole_again(play: ScenarioRunner) -> None:
-    """Waits at the end until all are members again, as a tool sees it."""
+async def wait_for_all_members(runner: ScenarioRunner) -> None:
+    """Waits at the end until all instances are members again, as the tools' port shows it."""
     await anyio.sleep(11.5)
-    async with play.client() as client:
+    async with runner.client() as client:
         with anyio.move_on_after(15.0):
             while len((await client.call("status", {}, 5.0))["members"]) < 5:
                 await anyio.sleep(0.1)
@@ -300,15 +314,17 @@
 def test_a_fleet_that_lost_two_drops_them_bears_the_loss_of_a_third_and_takes_all_back(
     tmp_path: Path,
 ) -> None:
-    report, acks = play(tmp_path, LOST)
+    report, acknowledged_at = run_scenario(tmp_path, LOST_MEMBERS_SCENARIO)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
-    assert acks, "nothing was acknowledged while three of five were gone"
+    assert acknowledged_at, "no change was acknowledged while three of five were lost"
     assert line["fewest_voters"] == 3 and line["voters_at_end"] == 5
 
 
 @pytest.mark.fleet
 def test_its_twin_that_drops_nobody_stops_with_the_third(tmp_path: Path) -> None:
-    report, acks = play(tmp_path, LOST.replace("drop_after_s = 1.0", "drop_after_s = 0"))
-    assert report.ok and not acks
+    report, acknowledged_at = run_scenario(
+        tmp_path, LOST_MEMBERS_SCENARIO.replace("drop_after_s = 1.0", "drop_after_s = 0")
+    )
+    assert report.ok and not acknowledged_at
     assert report.line()["fewest_voters"] == 5
