--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -126,7 +126,7 @@
             failed=frozenset(self.failed),
             controllers=self.names,
             live=live,
-            waits=waits,
+            unconfirmed_by=waits,
             avoided=frozenset() if self.broken == "pressed_counts" else frozenset(self.pressed - self.failed),
         )
         step = decide(instance.state, PLAN, sight)
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -91,16 +91,16 @@
             self._auto_gaps = AutoGaps()
             return
         state_machine = self._replica.node.state_machine
-        live, waits = leases
+        live, unconfirmed_by = leases
         members = frozenset(m.id for m in self._replica.node.raft.membership.members)
         fleet_state = FleetState(
             name=self._name,
             revision=inputs.revision,
             live=live & members - state_machine.orders.given_up(),
             demands=self._replica.demands(),
-            waits=waits,
-            whole=frozenset(limit.id for limit in inputs.limits if limit.server),
-            rested=lambda limit, index: self._calls_ended(limit, index, inputs),
+            unconfirmed_by=unconfirmed_by,
+            whole_numbers=frozenset(limit.id for limit in inputs.limits if limit.server),
+            calls_ended=lambda limit, index: self._calls_ended(limit, index, inputs),
         )
         limits = {limit.id: limit.per_s for limit in inputs.limits}
         each = frozenset(limit.id for limit in inputs.limits if limit.each)
--- a/harepick/fleet/limits/policy.py
+++ b/harepick/fleet/limits/policy.py
@@ -23,15 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """The leader's view of the fleet. `waits(index)`: instances that may still act on an older state."""
+    """The leader's view of the fleet.
+
+    `unconfirmed_by(index)`: instances that may still act on a state older than that log entry.
+    """
 
     name: str  # the leader
     revision: int  # of the configuration
     live: frozenset[str]
     demands: Mapping[str, Mapping[str, float]]  # instance -> limit -> offered calls per second
-    waits: Callable[[int], list[str]]
-    whole: frozenset[str] = frozenset()  # limits on concurrent calls: shares are whole numbers
-    rested: Callable[[str, int], bool] = lambda limit, index: True
+    unconfirmed_by: Callable[[int], list[str]]
+    whole_numbers: frozenset[str] = frozenset()  # limits on concurrent calls: shares are whole numbers
+    calls_ended: Callable[[str, int], bool] = lambda limit, index: True
     """Whether calls that began before that entry have ended; always true for a rate."""
 
 
@@ -108,8 +111,8 @@
     for limit, allocation in shares.limits.items():
         if (
             allocation.owed
-            and not fleet_state.waits(allocation.index)
-            and fleet_state.rested(limit, allocation.index)
+            and not fleet_state.unconfirmed_by(allocation.index)
+            and fleet_state.calls_ended(limit, allocation.index)
         ):
             due[limit] = ReleaseOwed(limit, allocation.version, fleet_state.name)
         elif limit not in budgets and (allocation.shares or (allocation.budget and not allocation.owed)):
@@ -148,7 +151,7 @@
 ) -> dict[str, float]:
     """The shares of a limit that may be allocated now."""
     demand = {name: row.get(limit, 0.0) for name, row in fleet_state.demands.items()}
-    if limit in fleet_state.whole:
+    if limit in fleet_state.whole_numbers:
         return _next_whole_shares(allocation, budget, whole_targets(budget, fleet_state.live, demand))
     # No reserve for a named share: the caller's demand shows on every instance through the base share.
     reserve = 0.0 if "@" in limit else RESERVE
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -62,7 +62,7 @@
         inputs, leases = self._inputs(), self._replica.leases()
         if inputs is None or leases is None:
             return None
-        live, waits = leases
+        live, unconfirmed_by = leases
         voters = self._replica.node.raft.membership.voters
         demands = self._replica.demands()
         server_health = health(demands, live, inputs.settings.failed_after, inputs.failed, inputs.overloaded)
@@ -75,7 +75,7 @@
             avoided=server_health.avoided & inputs.servers,
             controllers=voters,
             live=live & frozenset(voters),
-            waits=waits,
+            unconfirmed_by=unconfirmed_by,
         )
 
     async def run(self) -> None:
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -43,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetState:
-    """The leader's view of the fleet. `waits(index)`: instances that may still act on an older state."""
+    """The leader's view of the fleet.
+
+    `unconfirmed_by(index)`: instances that may still act on a state older than that log entry.
+    """
 
     name: str  # the leader
     now: float  # Unix time, used only for maintenance windows
@@ -52,7 +55,7 @@
     failed: frozenset[str]  # of `servers`
     controllers: tuple[str, ...]  # voting members
     live: frozenset[str]  # members that may hold a lease
-    waits: Callable[[int], list[str]]
+    unconfirmed_by: Callable[[int], list[str]]
     avoided: frozenset[str] = frozenset()  # of `servers`, not failed
 
 
@@ -155,7 +158,7 @@
 
 def _leaving_hold_reason(order: Order, fleet_state: FleetState) -> str:
     """What a leaving order still waits for; empty if nothing."""
-    if unconfirmed_by := fleet_state.waits(order.index):
+    if unconfirmed_by := fleet_state.unconfirmed_by(order.index):
         return f"not confirmed by {', '.join(sorted(unconfirmed_by))}"
     if order.kind == CONTROLLER:
         if order.machine == fleet_state.name:
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -135,9 +135,7 @@
             return step
     if not settings.drop_after or any(entry.state == LEAVING for entry in absences.absent):
         return None
-    for name, duration in sorted(
-        fleet_state.without_lease.items(), key=lambda absent: (-absent[1], absent[0])
-    ):
+    for name, duration in sorted(fleet_state.without_lease.items(), key=lambda item: (-item[1], item[0])):
         if name not in fleet_state.voters or absences.get(name) or duration < settings.drop_after:
             continue
         if not removal_blocker(name, settings, fleet_state):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -194,7 +194,7 @@
 def test_a_server_is_out_only_when_no_instance_may_act_on_older_orders() -> None:
     log, policy_settings = OrderLog(), MaintenanceSettings()
     number = log.request("s0")
-    unconfirmed = fleet_state(waits=lambda index: ["c"])
+    unconfirmed = fleet_state(unconfirmed_by=lambda index: ["c"])
     log.settle(policy_settings, unconfirmed)
     assert log.state(number) == "leaving" and log.orders.excluded(SERVER) == {"s0"}
     order = log.orders.get(number)
@@ -202,11 +202,11 @@
     assert why(order, log.orders, policy_settings, unconfirmed) == "not confirmed by c"
     queried_entries: list[int] = []
 
-    def waits(index: int) -> list[str]:
+    def unconfirmed_by(index: int) -> list[str]:
         queried_entries.append(index)
         return []
 
-    log.settle(policy_settings, fleet_state(waits=waits, live=frozenset({"a", "b"})))
+    log.settle(policy_settings, fleet_state(unconfirmed_by=unconfirmed_by, live=frozenset({"a", "b"})))
     left, order = order, log.orders.get(number)
     assert order and order.state == "out" and order.gone == ("c",)
     assert set(queried_entries) == {left.index}, (
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.fleet
-def test_a_fleet_that_lost_two_drops_them_bears_the_loss_of_a_third_and_takes_all_back(
+def test_two_lost_members_are_dropped_a_third_loss_is_survived_and_all_return(
     tmp_path: Path,
 ) -> None:
     report, acknowledged_at = run_scenario(tmp_path, LOST_MEMBERS_SCENARIO)
@@ -322,7 +322,7 @@
 
 
 @pytest.mark.fleet
-def test_its_twin_that_drops_nobody_stops_with_the_third(tmp_path: Path) -> None:
+def test_without_drop_after_the_store_stops_with_the_third_loss(tmp_path: Path) -> None:
     report, acknowledged_at = run_scenario(
         tmp_path, LOST_MEMBERS_SCENARIO.replace("drop_after_s = 1.0", "drop_after_s = 0")
     )
