--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -257,7 +257,7 @@
     parser.add_argument("--break", dest="broken", choices=["ramp"])
     args = parser.parse_args()
     if args.broken:
-        decide.Controller._cold_room = lambda self, server: True  # type: ignore[method-assign]
+        decide.Controller._has_cold_token = lambda self, server: True  # type: ignore[method-assign]
     worst, over, sends, cold = (0.0, 0), [], 0.0, 0.0
     for seed in range(args.first_seed, args.first_seed + args.schedules):
         found = World(seed, args.fronts).play()
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -1,8 +1,13 @@
-"""The decisions of one front. Types, settings, events and actions: `harepick/interface.py`.
+"""Overload control of one controller instance. Types, settings, events and actions: `harepick/interface.py`.
 
-A call's way: `_arrive` books it, `_route` picks a server (first choice while open, else the one that last
-worked) or lets a tried call through the token gate, `_send` - the one chokepoint - applies the guards of the
-five rules. `_tick` judges every server's occupancy each interval and moves its throttle u and gate rate r.
+`Controller` implements a published method: each instance estimates the occupancy p of every setup server from
+the waits that it observes, stops sending new calls to a server whose occupancy exceeds Pmax (throttle u = 0)
+and then admits calls to it at a limited gate rate r, kept between rmin and rmax.
+
+How a call is handled: `_on_call_arrived` records it; `_route` picks a server (the first choice while it is
+open, else the one that last accepted a call) or lets a call that was tried before pass a gate; `_send`
+checks the guards that hold for every attempt. `_run_interval` updates the occupancy, throttle and gate rate
+of every server once an interval.
 """
 
 from __future__ import annotations
@@ -11,592 +16,694 @@
 from collections import deque
 from collections.abc import Iterable
 
-from harepick import interface as i
-
-INTERVALS_PER_AIM = 4  # T is the tightest aim over this: control must act within the aim it protects
-PMAX = 0.80  # the paper's design level; u drops to 0 above it
-PTERM_MAX = 0.60  # the paper's level to which gated calls are steered
-SHUT_SHARE = 0.3  # a wait of this share of the tightest aim reads as occupancy Pmax
-WM, WC, WT, NWAIT = 2, 3, 4, 2  # windows in intervals: monitor, control, rate step, wait before the gate
-RMIN_SHARE = 3 / 20  # rmin as a share of rmax (design page)
-PEAK_INTERVALS = 8  # a send rate is averaged over this many intervals and
-PEAK_SENDS = 8  # over the time of this many sends, if longer: fewer would read chance as a peak
-STEP_SENDS = 1  # time of so many fair sends, if over Wt: r loosens and tokens last by it
-PEAK_SPAN = 60.0  # rmax is the top send rate within this span (design page)
-DEAR = 2.0  # a class worth this many times the mean passes shut servers as a tried call does
-YOUNG = 8  # a front of fewer intervals knows too little to think its rate high
-HISTORY = 20.0  # seconds over which a front's own share of the traffic is averaged: longer than a surge
-LOW = PTERM_MAX / 2  # under this there is room for calls that can no longer earn in full
-IDLE = PTERM_MAX / 4  # a server under this over Wt takes calls that no token is left for: none waits there
-EASED_SHARE = 0.97  # r this close to rmax ends the easing in
-COLD_RAMP = 0.5  # of an even rise to full capacity: how a server warms is not told
-COLD_MARGIN = 0.7  # of what the cold rule allows this front: others may see more traffic than their share
-FORGET = 60.0  # a server gone for so long is forgotten: others keep coming under new ids
-GAP_MEMORY = 16  # hearings over which the time between them is averaged
-SILENT_GAPS = 5  # this many mean gaps without a word are silence: chance alone gives it once in e^5
-FAULT_MEMORY = 4  # attempts that the share of faults remembers: one fault alone never shuts a server
-FAULT_SHARE = 0.6  # share of recent attempts ended in a fault, above the others' mean, that reads as Pmax
-NWAIT_FAULTS = 16  # intervals in which the share of faults fades while the server is shut
-FAULTS = (i.Outcome.RESET, i.Outcome.UNREACHED)
-ERRING = 0.5  # share of recent set-ups answered with an error: others with room go before such a server
-TICK = 0  # token of the interval's wake-up; holds use HOLD
-HOLD = 1
-EPS = 1e-6  # the clock counts microseconds
-
-
-class Bucket:
-    """Tokens that go stale: what many fronts hold unused must not come down on one server at once.
-
-    A token is there for as long as it takes to make `keep` more, be that over one or far under."""
+from harepick import interface
+
+INTERVALS_PER_AIM = 4  # interval T is the shortest aim over this: control must act within that aim
+MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design level; the throttle u drops to 0 above it
+TARGET_OCCUPANCY = 0.60  # Pterm in the paper: occupancy to which the gate rate steers a closed server
+CLOSING_WAIT_SHARE = 0.3  # a wait of this share of the shortest aim is an occupancy of Pmax
+# Wm, Wc, Wt and Nwait in the paper: the windows that decide on closing a server, on opening it again and on
+# its gate rate, and the delay from the closing until the gate applies.
+MONITOR_INTERVALS, CONTROL_INTERVALS, RATE_STEP_INTERVALS, GATE_DELAY_INTERVALS = 2, 3, 4, 2
+MIN_GATE_RATE_SHARE = 3 / 20  # rmin as a share of rmax
+# The send rate is averaged over this many intervals or the expected time of this many sends, whichever is
+# longer: with fewer sends, chance would look like a peak.
+SEND_RATE_INTERVALS = 8
+SEND_RATE_SENDS = 8
+# The expected time of so many sends, if longer than Wt, is the recovery step of r and the life of tokens.
+RATE_STEP_SENDS = 1
+PEAK_RATE_WINDOW_S = 60.0  # rmax is the highest send rate within this time
+# A class worth this multiple of the mean may pass the gate of a closed server on its first try.
+HIGH_WORTH_MULTIPLE = 2.0
+STARTUP_INTERVALS = 8  # after a start, the arrival rate is averaged over at least this many intervals
+# Averaging time of the arrival rate, longer than a surge; also the least time between a server's log lines.
+TRAFFIC_AVERAGE_S = 20.0
+# Below this a server has room for calls that no longer earn their full worth.
+LOW_OCCUPANCY = TARGET_OCCUPANCY / 2
+# Below this over Wt a server takes calls without tokens: none waits there.
+IDLE_OCCUPANCY = TARGET_OCCUPANCY / 4
+RECOVERED_RATE_SHARE = 0.97  # recovery ends when r has reached this share of rmax
+COLD_RAMP = 0.5  # share of a linear rise to full capacity: the real warm-up curve is unknown
+COLD_MARGIN = 0.7  # used share of the cold limit: other instances may see more than their share of traffic
+FORGET_GONE_AFTER_S = 60.0  # removed servers are dropped after this time: new ones keep coming under new ids
+ACTIVITY_GAP_SAMPLES = 16  # samples over which the time between two signs of activity is averaged
+SILENCE_GAPS = 5  # silence is this many mean gaps without activity: chance alone gives it once in e^5
+# Attempts over which fault and error shares are averaged: one fault never closes a server.
+FAULT_SHARE_ATTEMPTS = 4
+# Share of faulty attempts, above the mean of the others, that is an occupancy of Pmax.
+CLOSING_FAULT_SHARE = 0.6
+FAULT_DECAY_INTERVALS = 16  # decay of the fault share of a closed server
+FAULT_OUTCOMES = (interface.Outcome.RESET, interface.Outcome.UNREACHED)
+# Share of set-ups answered with an error from which other servers with room are preferred.
+HIGH_ERROR_SHARE = 0.5
+INTERVAL_TOKEN = 0  # timer token of the interval
+HOLD_TOKEN = 1  # timer token of calls held until their release guard is over
+EPSILON_S = 1e-6  # resolution of the clock
+
+
+class TokenBucket:
+    """A token bucket whose unused tokens expire, so that instances do not spend saved ones at once.
+
+    A token expires once `keep` more have been added, be `keep` above or below one."""
 
     def __init__(self, level: float) -> None:
-        self.made = level  # under one, drawn from the seed: fronts' tokens do not fall due in step
-        self.used = 0
+        self.added = level  # its fraction is drawn from the seed, so that instances do not send in step
+        self.taken = 0
 
-    def fill(self, amount: float, keep: float) -> None:
-        self.made += amount
-        self.used = max(self.used, int(self.made - keep))
+    def add(self, amount: float, keep: float) -> None:
+        self.added += amount
+        self.taken = max(self.taken, int(self.added - keep))
 
-    def ready(self) -> bool:
-        return self.made - self.used >= 1.0
+    def has_token(self) -> bool:
+        return self.added - self.taken >= 1.0
 
     def take(self) -> None:
-        self.used += self.ready()
+        self.taken += self.has_token()
 
 
 class Server:
-    """What this front knows of one server."""
+    """The state of one setup server as this instance observes it."""
 
-    def __init__(self, entry: i.ServerEntry, now: float, level: float) -> None:
+    def __init__(self, entry: interface.ServerEntry, now: float, level: float) -> None:
         self.id = entry.server
-        self.told_off: float | None = None  # when we were told that it drains or is gone
-        self.free = float("inf")  # free agents, as last told, less those taken since
-        self.open_attempts: dict[tuple[str, int], float] = {}  # attempts out -> time sent, oldest first
-        self.cold_until = 0.0
-        self.logged = now - HISTORY
-        self.peaks: deque[tuple[float, float]] = deque()  # (time, sends a second) at u=1, highest first
-        self.rate = 0.0  # sends a second
-        self.stood_now = 0
+        self.leaving_since: float | None = None  # since when it is listed as draining or gone
+        self.free_lines = float("inf")  # free lines as last reported, less those used since
+        self.open_attempts: dict[tuple[str, int], float] = {}  # (call, attempt) -> time sent, oldest first
+        self.warm_at = 0.0
+        self.logged_at = now - TRAFFIC_AVERAGE_S
+        self.rate_peaks: deque[tuple[float, float]] = deque()  # (time, send rate) while open, highest first
+        self.send_rate = 0.0  # calls that stand a second
+        self.stands_in_interval = 0
         self.update(entry, now)
-        self.void(now, level)
+        self.reset_estimates(now, level)
 
-    def update(self, entry: i.ServerEntry, now: float) -> None:
-        self.number, self.size, self.started = entry.number, max(entry.size, EPS), entry.started
-        self.left_at = float("inf")  # another in its place is warm: this one will be told off, and cut calls
+    def update(self, entry: interface.ServerEntry, now: float) -> None:
+        self.number, self.size, self.started = entry.number, max(entry.size, EPSILON_S), entry.started
+        # When its successor is warm: this server will soon stop and cut its calls.
+        self.replaced_at = float("inf")
         self.gone = entry.state == "gone"
         if entry.state == "ready":
-            self.told_off = None
-        elif self.told_off is None:
-            self.told_off = now
-
-    def void(self, now: float, level: float) -> None:
-        """Forget every estimate: a restarted server is another one."""
-        self.cold = Bucket(level)
-        self.cold_at = now
-        self.throttle = 1
-        self.zero = 0  # intervals that u has sat at 0
-        self.sums = [0.0, 0.0]  # this interval's waits heard: sum, count
-        self.history: deque[float] = deque(maxlen=max(WM, WC, WT))  # wait judged, an interval each
-        self.words: deque[int] = deque(maxlen=WT)  # waits heard in each interval
-        self.max_gate_rate = 0.0
-        self.gate_rate = 0.0
-        self.gate = Bucket(level + 1.0)  # a front that knows nothing yet may try each once
-        self.eased = False  # reopened, but fresh calls still take tokens
-        self.before = (0.0, False)  # r and eased when it shut
-        self.shut_at = self.well = self.latest = 0.0
-        self.proven = 0.0  # when a long wait was last heard, not only feared from a set-up's age
-        self.heard = now
-        self.gap = 1.0  # mean time between two hearings
-        self.faults = 0.0  # share of recent attempts that met a fault
-        self.errors = 0.0  # share answered at once with an error: no load, so that it shuts nothing
-        self.answered = 0.0  # when the latest set-up answered so far was sent: older silent ones tell nothing
+            self.leaving_since = None
+        elif self.leaving_since is None:
+            self.leaving_since = now
+
+    def reset_estimates(self, now: float, level: float) -> None:
+        """Resets every estimate: a restarted server has a new state."""
+        self.cold_gate = TokenBucket(level)
+        self.cold_filled_at = now
+        self.throttle = 1  # u in the paper: 1 open, 0 closed
+        self.closed_intervals = 0  # intervals since it was closed
+        self.interval_waits = [0.0, 0.0]  # waits observed in this interval: sum, count
+        # Mean wait of each interval.
+        self.wait_history: deque[float] = deque(
+            maxlen=max(MONITOR_INTERVALS, CONTROL_INTERVALS, RATE_STEP_INTERVALS)
+        )
+        self.wait_counts: deque[int] = deque(maxlen=RATE_STEP_INTERVALS)  # waits observed in each interval
+        self.max_gate_rate = 0.0  # rmax in the paper, calls a second
+        self.gate_rate = 0.0  # r in the paper, calls a second
+        self.gate = TokenBucket(level + 1.0)  # an instance without history may try each server once
+        self.recovering = False  # open again, but new calls still need tokens
+        self.state_before_close = (0.0, False)  # gate rate and `recovering` when it was closed
+        self.closed_at = self.short_wait_at = self.latest_wait = 0.0
+        self.long_wait_at = 0.0  # when a long wait was last observed, not inferred from the age of a set-up
+        self.active_at = now
+        self.activity_gap = 1.0  # mean seconds between two signs of activity
+        self.fault_share = 0.0  # share of recent attempts that ended in a fault
+        self.error_share = 0.0  # share answered with an error: no sign of load, so it closes nothing
+        # Send time of the latest answered set-up: older open ones say nothing of its load.
+        self.answered_sent_at = 0.0
 
     def record_activity(self, now: float) -> None:
-        """Any word from the server, also the end of a call, shows that it lives."""
-        self.gap += (now - self.heard - self.gap) / GAP_MEMORY
-        self.heard = now
+        """Notes a sign of life: any message from the server, also the end of a call."""
+        self.activity_gap += (now - self.active_at - self.activity_gap) / ACTIVITY_GAP_SAMPLES
+        self.active_at = now
 
-    def record_wait(self, now: float, wait: float, pressed: float) -> None:
+    def record_wait(self, now: float, wait: float, long_wait: float) -> None:
+        """Adds a wait in seconds; one above `long_wait` counts as proof of load."""
         self.record_activity(now)
-        self.latest = wait
-        self.sums[0] += wait
-        if wait > pressed:
-            self.proven = now
+        self.latest_wait = wait
+        self.interval_waits[0] += wait
+        if wait > long_wait:
+            self.long_wait_at = now
         else:
-            self.well = now
-        self.sums[1] += 1
+            self.short_wait_at = now
+        self.interval_waits[1] += 1
 
     def mean_wait(self, window: int) -> float:
-        """Mean wait over the window's intervals."""
-        waits = list(self.history)[-window:]
+        """Mean wait in seconds over the last `window` intervals."""
+        waits = list(self.wait_history)[-window:]
         return sum(waits) / len(waits) if waits else 0.0
 
     def close_interval(self, interval: float) -> None:
-        """An unheard server's queue drains, a second a second at most: old news decays to 0 at that pace."""
-        total, count = self.sums
-        before = self.history[-1] if self.history else 0.0
-        self.history.append(total / count if count else max(0.0, before - interval))
-        self.words.append(int(count))
-        self.sums = [0.0, 0.0]
+        """Stores the mean wait of the interval.
+
+        Without an observation the last wait drops by the interval: no queue drains faster."""
+        total, count = self.interval_waits
+        before = self.wait_history[-1] if self.wait_history else 0.0
+        self.wait_history.append(total / count if count else max(0.0, before - interval))
+        self.wait_counts.append(int(count))
+        self.interval_waits = [0.0, 0.0]
 
 
 class Call:
-    """One record of the call book."""
+    """One call and its attempts."""
 
     __slots__ = (
-        *("id", "call_class", "destination", "arrived", "transit", "until", "tries", "attempt_at", "last"),
-        *("not_before", "revoked", "may_run", "stands", "erred", "limit"),
+        *(
+            "id",
+            "call_class",
+            "destination",
+            "first_try",
+            "in_transit",
+            "deadline",
+            "tries",
+            "attempt_at",
+            "last_server",
+        ),
+        *("not_before", "cancelled_attempt", "may_have_run_at", "stands", "last_erred", "attempt_limit"),
     )
 
-    def __init__(self, event: i.CallArrived, cls: i.CallClass, now: float, limit: int) -> None:
-        self.id, self.call_class, self.destination, self.arrived = event.call, cls, event.destination, now
-        self.limit = limit  # attempts, as the settings said when it arrived
-        self.transit = event.in_transit
-        self.until = event.deadline
+    def __init__(
+        self, event: interface.CallArrived, call_class: interface.CallClass, now: float, limit: int
+    ) -> None:
+        self.id, self.call_class, self.destination, self.first_try = (
+            event.call,
+            call_class,
+            event.destination,
+            now,
+        )
+        self.attempt_limit = limit  # of the settings when it arrived
+        self.in_transit = event.in_transit
+        self.deadline = event.deadline
         self.tries = 0
-        self.attempt_at: Server | None = None
-        self.last: Server | None = None  # where the attempt before this one went
-        self.revoked = -1  # the attempt that we have cancelled
-        self.not_before = 0.0  # release guard
-        self.may_run: Server | None = None  # an attempt there may have run
+        self.attempt_at: Server | None = None  # where an attempt is open
+        self.last_server: Server | None = None  # server of the latest attempt
+        self.cancelled_attempt = -1  # number of the attempt that was cancelled
+        self.not_before = 0.0  # no attempt before this time (release guard)
+        self.may_have_run_at: Server | None = None  # server at which an earlier attempt may have taken effect
         self.stands = False
-        self.erred = False  # the attempt before this one was answered with an error
+        self.last_erred = False  # the latest attempt was answered with an error
 
 
 class Controller:
-    """The decision module of one front: `step(now, events)` returns the actions."""
+    """The decision module of one instance: `step` takes events and returns actions.
+
+    All randomness comes from `seed`; the host supplies the time in seconds."""
 
-    def __init__(self, settings: i.Settings, seed: int, now: float) -> None:
+    def __init__(self, settings: interface.Settings, seed: int, now: float) -> None:
         self.rng = random.Random(seed)
         self.now = now
-        self.began = now
-        self.settings: i.Settings = settings
-        self.classes: dict[str, i.CallClass] = {}
-        self._retune(settings)
-        self.tried: dict[tuple[int | None, str], float] = {}  # number and class -> first try, oldest first
-        self.mean_worth = 0.0  # of the calls that have arrived
-        self.seen = 0
+        self.started_at = now
+        self.settings: interface.Settings = settings
+        self.classes: dict[str, interface.CallClass] = {}
+        self._apply_settings(settings)
+        self.first_tries: dict[tuple[int | None, str], float] = {}  # (number, class) -> time, oldest first
+        self.mean_worth = 0.0  # of all calls so far
+        self.calls_seen = 0
         self.servers: dict[str, Server] = {}
         self.calls: dict[str, Call] = {}
         self.held: dict[str, Call] = {}
-        self.sticky: str | None = None
-        self.floor = float("inf")  # least set-up time seen: way and work without a wait
-        self.all_faults = (0.0, 0)
-        self.rate = 0.0  # calls a second that arrive here, averaged over HISTORY
-        self.arrivals = 0
-        self.actions: list[i.Action] = []
-
-    def start(self) -> list[i.Action]:
-        """First actions: the interval's phase comes from the seed, so that fronts do not step together."""
-        first: list[i.Action] = [i.WakeAfter(self.interval * (0.1 + 0.9 * self.rng.random()), TICK)]
+        self.sticky_server: str | None = None
+        self.min_setup_time = float("inf")  # transport and processing without a wait
+        self.fault_totals = (0.0, 0)  # sum of the fault shares, and number of servers
+        self.arrival_rate = 0.0  # first tries a second that arrive here
+        self.interval_arrivals = 0  # first tries in this interval
+        self.actions: list[interface.Action] = []
+
+    def start(self) -> list[interface.Action]:
+        """Returns the first actions; the random phase of the interval keeps instances from acting in step."""
+        first_actions: list[interface.Action] = [
+            interface.WakeAfter(self.interval * (0.1 + 0.9 * self.rng.random()), INTERVAL_TOKEN)
+        ]
         if self.settings.must_ask:
-            first.append(i.Subscribe())
-        return first
+            first_actions.append(interface.Subscribe())
+        return first_actions
+
+    def step(self, now: float, events: Iterable[interface.Event]) -> list[interface.Action]:
+        """Handles the events of one batch in order and returns the actions.
 
-    def step(self, now: float, events: Iterable[i.Event]) -> list[i.Action]:
-        """All events of one batch, in order."""
+        `now` is the host's clock in seconds and never goes back."""
         self.now = now
         self.actions = []
         for event in events:
             match event:
-                case i.CallArrived():
-                    self._arrive(event)
-                case i.AttemptEnded():
-                    self._ended(event)
-                case i.CallStands():
-                    self._stands(event)
-                case i.Woken(token):
-                    if token == TICK:
-                        self._tick()
+                case interface.CallArrived():
+                    self._on_call_arrived(event)
+                case interface.AttemptEnded():
+                    self._on_attempt_ended(event)
+                case interface.CallStands():
+                    self._on_call_stands(event)
+                case interface.Woken(token):
+                    if token == INTERVAL_TOKEN:
+                        self._run_interval()
                     self._release_held()
-                case i.CallerLeft(call):
-                    self._left(call)
-                case i.ServerList():
-                    self._listed(event)
-                case i.SettingsReplaced(settings):
-                    self._retune(settings)
-                case i.Probed():
-                    self._report(event.server, event.report)
+                case interface.CallerLeft(call):
+                    self._on_caller_left(call)
+                case interface.ServerList():
+                    self._on_server_list(event)
+                case interface.SettingsReplaced(settings):
+                    self._apply_settings(settings)
+                case interface.Probed():
+                    self._apply_report(event.server, event.report)
         return self.actions
 
-    def _retune(self, settings: i.Settings) -> None:
-        """Classes and rules for what arrives from now on; what is known of the servers stays. A class that
-        was dropped is kept for one reload more: its callers may not have moved yet."""
-        before = {c.name: c for c in self.settings.classes} if self.classes else {}
+    def _apply_settings(self, settings: interface.Settings) -> None:
+        """Replaces classes and rules for calls that arrive from now on; the state of the servers stays.
+
+        A dropped class is kept for one more reload: its callers may still be using it."""
+        before = {item.name: item for item in self.settings.classes} if self.classes else {}
         self.settings = settings
-        self.classes = {**before, **{c.name: c for c in settings.classes}}
-        self.tightest = min(c.aim for c in settings.classes)
-        self.wait_at_pmax = SHUT_SHARE * self.tightest
-        self.interval = self.tightest / INTERVALS_PER_AIM
-        self.longest = max(c.give_up for c in self.classes.values())
+        self.classes = {**before, **{item.name: item for item in settings.classes}}
+        self.shortest_aim = min(item.aim for item in settings.classes)
+        self.closing_wait = CLOSING_WAIT_SHARE * self.shortest_aim
+        self.interval = self.shortest_aim / INTERVALS_PER_AIM
+        self.longest_give_up = max(item.give_up for item in self.classes.values())
 
     def avoided(self) -> set[str]:
-        """Listed servers that fresh calls go to no more: told off, or shut by their occupancy."""
+        """Listed servers that get no new calls: draining, gone, or closed by their occupancy."""
         return {
-            s.id for s in self.servers.values() if not s.gone and (s.told_off is not None or not s.throttle)
+            server.id
+            for server in self.servers.values()
+            if not server.gone and (server.leaving_since is not None or not server.throttle)
         }
 
-    # What is heard
+    # Observations
 
-    def _listed(self, event: i.ServerList) -> None:
-        if event.kind is i.ListKind.REFUSED:
-            self.actions.append(i.Subscribe())
+    def _on_server_list(self, event: interface.ServerList) -> None:
+        if event.kind is interface.ListKind.REFUSED:
+            self.actions.append(interface.Subscribe())
             return
-        named = {}
+        listed = {}
         for entry in event.entries:
-            named[entry.server] = entry
+            listed[entry.server] = entry
             known = self.servers.get(entry.server)
             if known is None:
                 known = self.servers[entry.server] = Server(entry, self.now, self.rng.random())
             else:
                 if entry.started > known.started:
-                    known.void(self.now, self.rng.random())
+                    known.reset_estimates(self.now, self.rng.random())
                 known.update(entry, self.now)
             if entry.started > 0:
-                known.cold_until = entry.started + self.settings.warm_after
+                known.warm_at = entry.started + self.settings.warm_after
         for server in self.servers.values():
-            later = [s for s in self.servers.values() if s.number == server.number and s.told_off is None]
-            warm = (s.cold_until for s in later if s.started > server.started)
-            server.left_at = min(warm, default=float("inf"))
-        if event.kind is not i.ListKind.CHANGES:
+            successors = [
+                other
+                for other in self.servers.values()
+                if other.number == server.number and other.leaving_since is None
+            ]
+            warm_times = (other.warm_at for other in successors if other.started > server.started)
+            server.replaced_at = min(warm_times, default=float("inf"))
+        if event.kind is not interface.ListKind.CHANGES:
             for name, server in self.servers.items():
-                if name not in named:
+                if name not in listed:
                     server.gone = True
-                    server.told_off = self.now if server.told_off is None else server.told_off
+                    server.leaving_since = self.now if server.leaving_since is None else server.leaving_since
 
-    def _report(self, name: str, report: object) -> None:
+    def _apply_report(self, name: str, report: object) -> None:
         server = self.servers.get(name)
         if server is None or not isinstance(report, dict):
             return
         if "free" in report:
-            server.free = report["free"]
+            server.free_lines = report["free"]
         if "cpu" in report:
-            server.record_wait(self.now, report["cpu"] / PMAX * self.wait_at_pmax, self.wait_at_pmax)
+            server.record_wait(self.now, report["cpu"] / MAX_OCCUPANCY * self.closing_wait, self.closing_wait)
         elif "avg_ms" in report:
-            server.record_wait(self.now, report["avg_ms"] / 1000.0, self.wait_at_pmax)
+            server.record_wait(self.now, report["avg_ms"] / 1000.0, self.closing_wait)
 
-    def _stands(self, event: i.CallStands) -> None:
+    def _on_call_stands(self, event: interface.CallStands) -> None:
         server = self.servers.get(event.server)
         if server:
-            server.answered = max(server.answered, server.open_attempts.pop((event.call, event.attempt), 0.0))
-            server.faults -= server.faults / FAULT_MEMORY
-            server.errors -= server.errors / FAULT_MEMORY
-            server.stood_now += 1
-            self.floor = min(self.floor, event.elapsed)
-            server.record_wait(self.now, event.elapsed - self.floor, self.wait_at_pmax)
+            server.answered_sent_at = max(
+                server.answered_sent_at, server.open_attempts.pop((event.call, event.attempt), 0.0)
+            )
+            server.fault_share -= server.fault_share / FAULT_SHARE_ATTEMPTS
+            server.error_share -= server.error_share / FAULT_SHARE_ATTEMPTS
+            server.stands_in_interval += 1
+            self.min_setup_time = min(self.min_setup_time, event.elapsed)
+            server.record_wait(self.now, event.elapsed - self.min_setup_time, self.closing_wait)
         call = self.calls.get(event.call)
         if call and call.attempt_at is server:
             call.stands = True
-            self.sticky = event.server
+            self.sticky_server = event.server
 
-    def _ended(self, event: i.AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: interface.AttemptEnded) -> None:
         server = self.servers.get(event.server)
-        out = event.outcome
+        outcome = event.outcome
         lost = False
         if server:
             sent = server.open_attempts.pop((event.call, event.attempt), self.now)
-            lost = out in (i.Outcome.TIMEOUT, i.Outcome.CANCELLED) and self._lost(server, sent)
-            if out is i.Outcome.OK:
+            lost = outcome in (interface.Outcome.TIMEOUT, interface.Outcome.CANCELLED) and self._is_lost(
+                server, sent
+            )
+            if outcome is interface.Outcome.OK:
                 server.record_activity(self.now)
-            self._report(event.server, event.report)
+            self._apply_report(event.server, event.report)
         call = self.calls.get(event.call)
-        full = out is i.Outcome.FULL and event.cause == 3
+        server_full = outcome is interface.Outcome.FULL and event.cause == 3
         if server:
-            server.free = 0.0 if event.cause == 1 else server.free + 1.0  # until we are told otherwise
-        busy_line = out is i.Outcome.ERROR and event.cause == 4
+            server.free_lines = 0.0 if event.cause == 1 else server.free_lines + 1.0  # until the next report
+        lines_busy = outcome is interface.Outcome.ERROR and event.cause == 4
         stood = call is not None and call.stands
-        if server and (full or (out is i.Outcome.TIMEOUT and call and not lost)):
-            waited = max(event.told_wait, event.elapsed, self.wait_at_pmax / SHUT_SHARE)
-            server.record_wait(self.now, waited, self.wait_at_pmax)
-        # Recurring, it shuts a pool out of lines, which has no wait and would draw every shed call.
-        no_line = out is i.Outcome.FULL and event.cause == 1
-        if server and not stood and not busy_line and (lost or no_line or out in FAULTS):
-            server.faults += (1.0 - server.faults) / FAULT_MEMORY
-        if server and out is i.Outcome.ERROR and not stood and not busy_line:
-            server.errors += (1.0 - server.errors) / FAULT_MEMORY
-        if server and out is i.Outcome.FULL and self.sticky == server.id:
-            self.sticky = None
+        if server and (server_full or (outcome is interface.Outcome.TIMEOUT and call and not lost)):
+            waited = max(event.told_wait, event.elapsed, self.closing_wait / CLOSING_WAIT_SHARE)
+            server.record_wait(self.now, waited, self.closing_wait)
+        # A pool without free lines shows no wait and would attract all diverted calls: it counts as a fault.
+        no_free_line = outcome is interface.Outcome.FULL and event.cause == 1
+        if server and not stood and not lines_busy and (lost or no_free_line or outcome in FAULT_OUTCOMES):
+            server.fault_share += (1.0 - server.fault_share) / FAULT_SHARE_ATTEMPTS
+        if server and outcome is interface.Outcome.ERROR and not stood and not lines_busy:
+            server.error_share += (1.0 - server.error_share) / FAULT_SHARE_ATTEMPTS
+        if server and outcome is interface.Outcome.FULL and self.sticky_server == server.id:
+            self.sticky_server = None
         if call is None or call.tries - 1 != event.attempt:
             return
         call.attempt_at = None
         if event.final or call.stands:
             del self.calls[call.id]
             return
-        if out in (i.Outcome.TIMEOUT, i.Outcome.RESET, i.Outcome.CANCELLED):
-            call.not_before = self.now + self.settings.release_guard + EPS
-        if out not in (i.Outcome.FULL, i.Outcome.UNREACHED, i.Outcome.MOOT):
-            call.may_run = server
-        call.erred = out is i.Outcome.ERROR
-        if busy_line:
-            self._finish(call)
+        if outcome in (interface.Outcome.TIMEOUT, interface.Outcome.RESET, interface.Outcome.CANCELLED):
+            call.not_before = self.now + self.settings.release_guard + EPSILON_S
+        if outcome not in (interface.Outcome.FULL, interface.Outcome.UNREACHED, interface.Outcome.MOOT):
+            call.may_have_run_at = server
+        call.last_erred = outcome is interface.Outcome.ERROR
+        if lines_busy:
+            self._refuse_or_fail(call)
         else:
             self._route(call)
 
-    def _left(self, name: str) -> None:
+    def _on_caller_left(self, name: str) -> None:
         call = self.calls.pop(name, None)
         self.held.pop(name, None)
         if call and call.attempt_at and not call.stands and self.settings.may_cancel:
-            self.actions.append(i.Cancel(name, call.tries - 1))
+            self.actions.append(interface.Cancel(name, call.tries - 1))
 
     # Occupancy, throttle and token gate
 
     def _occupancy(self, server: Server, window: int) -> float:
-        """p, from the waits heard and the age of the oldest set-up still unanswered."""
+        """Occupancy, p in the paper: from the waits, the age of the oldest open set-up, and faults."""
         wait = server.mean_wait(window)
-        # Past every aim, at a server that has spoken since: a lost set-up, which tells nothing of the queue.
-        lost = self.now - self.tightest
-        said = server.heard - self.wait_at_pmax
+        # A set-up older than every aim, at a server active since, is lost: it says nothing of the queue.
+        lost_before = self.now - self.shortest_aim
+        active_since = server.active_at - self.closing_wait
         oldest = next(
-            (t for t in server.open_attempts.values() if t > server.answered and (t > lost or t > said)), None
+            (
+                sent
+                for sent in server.open_attempts.values()
+                if sent > server.answered_sent_at and (sent > lost_before or sent > active_since)
+            ),
+            None,
         )
         if oldest is not None:
-            wait = max(wait, self.now - oldest - (self.floor if self.floor < float("inf") else 0.0))
-        faults, servers = self.all_faults  # what most servers show is no trouble of this one
-        own = server.faults - max(0.0, faults - server.faults) / max(1, servers - 1)
-        return PMAX * max(wait / self.wait_at_pmax, own / FAULT_SHARE)
-
-    def _tick(self) -> None:
-        self.actions.append(i.WakeAfter(self.interval, TICK))
-        weight = self.interval / min(max(self.now - self.began, YOUNG * self.interval), HISTORY)
-        self.rate += weight * (self.arrivals / self.interval - self.rate)
-        self.arrivals = 0
-        for name in [s.id for s in self.servers.values() if s.gone and not s.open_attempts]:
-            if self.now - (self.servers[name].told_off or self.now) > FORGET:
+            wait = max(
+                wait, self.now - oldest - (self.min_setup_time if self.min_setup_time < float("inf") else 0.0)
+            )
+        # Faults that most servers show are not held against this one.
+        fault_total, servers = self.fault_totals
+        excess_faults = server.fault_share - max(0.0, fault_total - server.fault_share) / max(1, servers - 1)
+        return MAX_OCCUPANCY * max(wait / self.closing_wait, excess_faults / CLOSING_FAULT_SHARE)
+
+    def _run_interval(self) -> None:
+        self.actions.append(interface.WakeAfter(self.interval, INTERVAL_TOKEN))
+        weight = self.interval / min(
+            max(self.now - self.started_at, STARTUP_INTERVALS * self.interval), TRAFFIC_AVERAGE_S
+        )
+        self.arrival_rate += weight * (self.interval_arrivals / self.interval - self.arrival_rate)
+        self.interval_arrivals = 0
+        for name in [other.id for other in self.servers.values() if other.gone and not other.open_attempts]:
+            if self.now - (self.servers[name].leaving_since or self.now) > FORGET_GONE_AFTER_S:
                 del self.servers[name]
-        alive = [s.faults for s in self.servers.values() if s.told_off is None]
-        self.all_faults = sum(alive), len(alive)
+        fault_shares = [other.fault_share for other in self.servers.values() if other.leaving_since is None]
+        self.fault_totals = sum(fault_shares), len(fault_shares)
         for server in self.servers.values():
-            self._adjust(server)
+            self._adjust_throttle(server)
         if self.settings.may_cancel:
             for server in self.servers.values():
-                self._rescue(server)
+                self._cancel_unanswered(server)
 
-    def _rescue(self, server: Server) -> None:
-        """Cancels set-ups that will not be answered while there is time for another elsewhere.
+    def _cancel_unanswered(self, server: Server) -> None:
+        """Cancels set-ups that will not be answered while another server can still take the call in time.
 
-        All at a server silent since they went out (a hang, a dead line, a freeze; a slow server still
-        answers others), and a lost one, overtaken by an answer to a later set-up."""
-        if not any(s.throttle and s is not server and s.told_off is None for s in self.servers.values()):
+        These are all set-ups at a closed server that has been silent since they were sent (a hang or a dead
+        connection; a slow server still answers others), and lost ones, overtaken by later answers."""
+        if not any(
+            other.throttle and other is not server and other.leaving_since is None
+            for other in self.servers.values()
+        ):
             return
-        silence = max(self.wait_at_pmax, SILENT_GAPS * server.gap)
+        silence = max(self.closing_wait, SILENCE_GAPS * server.activity_gap)
         for (name, attempt), sent in list(server.open_attempts.items()):
             call = self.calls.get(name)
-            if call is None or call.revoked == attempt:
+            if call is None or call.cancelled_attempt == attempt:
                 continue
-            silent = not server.throttle and server.heard <= sent and self.now - sent >= silence
-            lost = self._lost(server, sent)
-            limit = call.until if lost else call.arrived + call.call_class.aim
-            if (silent or lost) and self.now + self.settings.release_guard + 2 * self.floor < limit:
-                call.revoked = attempt
-                self.actions.append(i.Cancel(name, attempt))
-
-    def _lost(self, server: Server, sent: float) -> bool:
-        """A server takes set-ups in turn: one sent well before the latest answered, or out past every
-        aim while no wait was heard there, is lost."""
-        return sent + self.interval < server.answered or sent + self.tightest < server.well
-
-    def _adjust(self, server: Server) -> None:
+            silent = not server.throttle and server.active_at <= sent and self.now - sent >= silence
+            lost = self._is_lost(server, sent)
+            answer_by = call.deadline if lost else call.first_try + call.call_class.aim
+            if (
+                silent or lost
+            ) and self.now + self.settings.release_guard + 2 * self.min_setup_time < answer_by:
+                call.cancelled_attempt = attempt
+                self.actions.append(interface.Cancel(name, attempt))
+
+    def _is_lost(self, server: Server, sent: float) -> bool:
+        """Whether an open set-up is lost.
+
+        Servers answer in order: it is if it was sent well before the latest answered one, or is older than
+        every aim while the server reports short waits."""
+        return (
+            sent + self.interval < server.answered_sent_at or sent + self.shortest_aim < server.short_wait_at
+        )
+
+    def _adjust_throttle(self, server: Server) -> None:
         server.close_interval(self.interval)
         if not server.throttle:
-            server.faults *= 1.0 - 1.0 / NWAIT_FAULTS  # or no attempt would ever try it again
-        carried = self._carried(server)
+            # Without decay no attempt would ever be sent there again.
+            server.fault_share *= 1.0 - 1.0 / FAULT_DECAY_INTERVALS
+        fair_rate = self._fair_rate(server)
         if server.throttle:
-            span = max(PEAK_INTERVALS * self.interval, PEAK_SENDS / max(carried, EPS))
-            server.rate += (server.stood_now - server.rate * self.interval) / span
-            while server.peaks and server.peaks[-1][1] <= server.rate:
-                server.peaks.pop()
-            server.peaks.append((self.now, server.rate))
-        server.stood_now = 0
-        while server.peaks and server.peaks[0][0] < self.now - PEAK_SPAN:
-            server.peaks.popleft()
-        server.max_gate_rate = max(server.peaks[0][1] if server.peaks else 0.0, carried)
-        rmin = server.max_gate_rate * RMIN_SHARE
-        if not server.eased:
+            window = max(SEND_RATE_INTERVALS * self.interval, SEND_RATE_SENDS / max(fair_rate, EPSILON_S))
+            server.send_rate += (server.stands_in_interval - server.send_rate * self.interval) / window
+            while server.rate_peaks and server.rate_peaks[-1][1] <= server.send_rate:
+                server.rate_peaks.pop()
+            server.rate_peaks.append((self.now, server.send_rate))
+        server.stands_in_interval = 0
+        while server.rate_peaks and server.rate_peaks[0][0] < self.now - PEAK_RATE_WINDOW_S:
+            server.rate_peaks.popleft()
+        server.max_gate_rate = max(server.rate_peaks[0][1] if server.rate_peaks else 0.0, fair_rate)
+        min_gate_rate = server.max_gate_rate * MIN_GATE_RATE_SHARE
+        if not server.recovering:
             server.gate_rate = server.max_gate_rate
-        step = max(WT * self.interval, STEP_SENDS / max(carried, EPS))
-        if server.throttle and (p := self._occupancy(server, WM)) > PMAX:
-            server.before, server.shut_at = (server.gate_rate, server.eased), self.now
-            server.throttle, server.zero, server.eased = 0, 0, True
-            server.gate_rate = max(rmin, server.gate_rate * PTERM_MAX / p)
-            if self.now - server.logged >= HISTORY:
-                server.logged = self.now
-                self.actions.append(i.Log(f"{server.id} shut, occupancy {p:.1f}"))
+        step_time = max(RATE_STEP_INTERVALS * self.interval, RATE_STEP_SENDS / max(fair_rate, EPSILON_S))
+        if server.throttle and (occupancy := self._occupancy(server, MONITOR_INTERVALS)) > MAX_OCCUPANCY:
+            server.state_before_close, server.closed_at = (server.gate_rate, server.recovering), self.now
+            server.throttle, server.closed_intervals, server.recovering = 0, 0, True
+            server.gate_rate = max(min_gate_rate, server.gate_rate * TARGET_OCCUPANCY / occupancy)
+            if self.now - server.logged_at >= TRAFFIC_AVERAGE_S:
+                server.logged_at = self.now
+                self.actions.append(interface.Log(f"{server.id} closed, occupancy {occupancy:.1f}"))
         elif not server.throttle:
-            server.zero += 1
-            if self._occupancy(server, WC) < PMAX:
+            server.closed_intervals += 1
+            if self._occupancy(server, CONTROL_INTERVALS) < MAX_OCCUPANCY:
                 server.throttle = 1
-                if server.proven < server.shut_at - WM * self.interval and server.faults < FAULT_SHARE:
-                    # a lost answer, no load: nothing to ease in
-                    server.gate_rate, server.eased = server.before
-                    server.gate_rate = server.gate_rate if server.eased else server.max_gate_rate
+                if (
+                    server.long_wait_at < server.closed_at - MONITOR_INTERVALS * self.interval
+                    and server.fault_share < CLOSING_FAULT_SHARE
+                ):
+                    # It was closed for a lost answer, not for load: no recovery phase.
+                    server.gate_rate, server.recovering = server.state_before_close
+                    server.gate_rate = server.gate_rate if server.recovering else server.max_gate_rate
         if server.throttle:
-            calm = PMAX * server.latest / self.wait_at_pmax < IDLE and server.heard > server.shut_at
-            pace = max(WT * self.interval, server.gap) if calm else step  # of loosening halfway
+            idle = (
+                MAX_OCCUPANCY * server.latest_wait / self.closing_wait < IDLE_OCCUPANCY
+                and server.active_at > server.closed_at
+            )
+            # Seconds in which r moves half way to rmax.
+            half_time = max(RATE_STEP_INTERVALS * self.interval, server.activity_gap) if idle else step_time
             server.gate_rate += (server.max_gate_rate - server.gate_rate) * (
-                1.0 - 0.5 ** (self.interval / pace)
+                1.0 - 0.5 ** (self.interval / half_time)
             )
-            server.eased = server.gate_rate < EASED_SHARE * server.max_gate_rate
-        elif self._gated(server) and server.zero % WT == 0:
-            p = self._occupancy(server, WT)
+            server.recovering = server.gate_rate < RECOVERED_RATE_SHARE * server.max_gate_rate
+        elif self._is_gated(server) and server.closed_intervals % RATE_STEP_INTERVALS == 0:
+            occupancy = self._occupancy(server, RATE_STEP_INTERVALS)
             server.gate_rate = (
-                min(max(rmin, server.gate_rate * PTERM_MAX / p), server.max_gate_rate)
-                if p > 0
+                min(max(min_gate_rate, server.gate_rate * TARGET_OCCUPANCY / occupancy), server.max_gate_rate)
+                if occupancy > 0
                 else server.max_gate_rate
             )
-        server.gate.fill(server.gate_rate * self.interval, server.gate_rate * step)
+        server.gate.add(server.gate_rate * self.interval, server.gate_rate * step_time)
 
-    def _gated(self, server: Server) -> bool:
-        return not server.throttle and server.zero > NWAIT - WM
+    def _is_gated(self, server: Server) -> bool:
+        return not server.throttle and server.closed_intervals > GATE_DELAY_INTERVALS - MONITOR_INTERVALS
 
     # Arrival, routing, answers
 
-    def _arrive(self, event: i.CallArrived) -> None:
-        cls = self.classes.get(event.class_name) or self.settings.classes[0]
-        self.seen += 1
-        self.mean_worth += (cls.worth - self.mean_worth) / self.seen
-        call = self.calls[event.call] = Call(event, cls, self.now, self.settings.try_limit)
-        call.arrived = self._first_try(event, cls)
-        self.arrivals += call.arrived == self.now  # redials are no measure of what servers carry
+    def _on_call_arrived(self, event: interface.CallArrived) -> None:
+        call_class = self.classes.get(event.class_name) or self.settings.classes[0]
+        self.calls_seen += 1
+        self.mean_worth += (call_class.worth - self.mean_worth) / self.calls_seen
+        call = self.calls[event.call] = Call(event, call_class, self.now, self.settings.try_limit)
+        call.first_try = self._first_try_time(event, call_class)
+        self.interval_arrivals += call.first_try == self.now  # redials do not measure what servers carry
         self._route(call)
 
-    def _first_try(self, event: i.CallArrived, cls: i.CallClass) -> float:
-        """When this caller first tried: a caller that dials the same number again is known by it."""
+    def _first_try_time(self, event: interface.CallArrived, call_class: interface.CallClass) -> float:
+        """When the caller first tried: a redial is recognised by the same number and class."""
         key = (event.number, event.class_name)
         if event.number is None:
             return self.now
-        while self.tried and self.now - next(iter(self.tried.values())) > self.longest:
-            del self.tried[next(iter(self.tried))]
-        if self.now - self.tried.get(key, -self.longest) > cls.give_up:
-            self.tried.pop(key, None)
-            self.tried[key] = self.now
-        return self.tried[key]
+        while self.first_tries and self.now - next(iter(self.first_tries.values())) > self.longest_give_up:
+            del self.first_tries[next(iter(self.first_tries))]
+        if self.now - self.first_tries.get(key, -self.longest_give_up) > call_class.give_up:
+            self.first_tries.pop(key, None)
+            self.first_tries[key] = self.now
+        return self.first_tries[key]
 
-    def _usable(self, call: Call) -> list[Server]:
-        """Servers that the rules and the call's class let it go to now."""
-        return [s for s in self.servers.values() if self._allowed(call, s)]
+    def _usable_servers(self, call: Call) -> list[Server]:
+        """Servers to which the call may be sent now."""
+        return [server for server in self.servers.values() if self._may_use(call, server)]
 
     def _route(self, call: Call) -> None:
-        if self.now >= call.until - EPS or call.tries >= call.limit:
-            return self._finish(call)
-        usable = self._usable(call)
+        if self.now >= call.deadline - EPSILON_S or call.tries >= call.attempt_limit:
+            return self._refuse_or_fail(call)
+        usable = self._usable_servers(call)
         if self.now < call.not_before:
-            alive = [s for s in self.servers.values() if s.told_off is None and s.throttle]
-            if alive and call.not_before < call.until:
+            open_servers = [
+                other for other in self.servers.values() if other.leaving_since is None and other.throttle
+            ]
+            if open_servers and call.not_before < call.deadline:
                 return self._hold(call, call.not_before - self.now)
-            return self._finish(call)
-        doomed = self.now + self.wait_at_pmax > call.arrived + call.call_class.aim
-        if doomed:  # too late to earn in full: it yields to calls that are not, wherever there is pressure
-            usable = [s for s in usable if not s.eased and self._occupancy(s, WM) < LOW]
-        again = usable
-        usable = [s for s in usable if s is not call.last] or usable  # redrawn after a failed attempt
-        sound = [s for s in usable if s.errors < ERRING]
-        # An error costs next to nothing and says nothing of the next: better there again than not at all.
-        for servers in (sound, usable, again if call.erred else []):
-            if server := self._open(call, servers):
+            return self._refuse_or_fail(call)
+        past_aim = self.now + self.closing_wait > call.first_try + call.call_class.aim
+        if past_aim:  # it can no longer earn its full worth, and yields to others wherever there is load
+            usable = [
+                other
+                for other in usable
+                if not other.recovering and self._occupancy(other, MONITOR_INTERVALS) < LOW_OCCUPANCY
+            ]
+        repeatable = usable
+        usable = [
+            other for other in usable if other is not call.last_server
+        ] or usable  # another after a failed attempt
+        healthy = [other for other in usable if other.error_share < HIGH_ERROR_SHARE]
+        # An error costs little and does not predict the next answer: repeating there is better than failing.
+        for servers in (healthy, usable, repeatable if call.last_erred else []):
+            if server := self._choose_open_server(call, servers):
                 return self._send(call, server)
-        first = next((s for s in usable if s.number == call.destination), None)
-        if usable and not doomed and (call.tries or call.call_class.worth >= DEAR * self.mean_worth):
-            passing = [
-                s for s in usable if not ((s.eased and s.throttle) or self._gated(s)) or s.gate.ready()
+        first = next((other for other in usable if other.number == call.destination), None)
+        if (
+            usable
+            and not past_aim
+            and (call.tries or call.call_class.worth >= HIGH_WORTH_MULTIPLE * self.mean_worth)
+        ):
+            admitted = [
+                other
+                for other in usable
+                if not ((other.recovering and other.throttle) or self._is_gated(other))
+                or other.gate.has_token()
             ]
-            if passing:
-                calmest = min(passing, key=lambda s: self._occupancy(s, WM))
-                return self._send(call, first if first in passing else calmest)
-        self._finish(call)
+            if admitted:
+                least_occupied = min(admitted, key=lambda other: self._occupancy(other, MONITOR_INTERVALS))
+                return self._send(call, first if first in admitted else least_occupied)
+        self._refuse_or_fail(call)
 
-    def _open(self, call: Call, servers: list[Server]) -> Server | None:
-        """The first choice while it is open, else one with a token: the one that last worked, or any."""
+    def _choose_open_server(self, call: Call, servers: list[Server]) -> Server | None:
+        """The first choice while it is open, else one with a token: the sticky server or a random one."""
         for first in sorted(
-            (s for s in servers if s.number == call.destination), key=lambda s: self.now >= s.left_at
+            (other for other in servers if other.number == call.destination),
+            key=lambda other: self.now >= other.replaced_at,
         ):
-            if first.throttle and (not first.eased or first.gate.ready() or self._idle(first)):
+            if first.throttle and (not first.recovering or first.gate.has_token() or self._is_idle(first)):
                 return first
-        others = [
-            s for s in servers if s.throttle and s.gate.ready()
-        ]  # shed traffic must not topple the next
-        others = others or [s for s in servers if self._idle(s)]
-        others = [s for s in others if self.now < s.left_at] or others
+        # Diverted calls need tokens, so that they do not overload the next server.
+        others = [other for other in servers if other.throttle and other.gate.has_token()]
+        others = others or [other for other in servers if self._is_idle(other)]
+        others = [other for other in others if self.now < other.replaced_at] or others
         if others:
-            server = next((s for s in others if s.id == self.sticky), None) or self.rng.choice(others)
-            self.sticky = server.id
+            server = next(
+                (other for other in others if other.id == self.sticky_server), None
+            ) or self.rng.choice(others)
+            self.sticky_server = server.id
             return server
         return None
 
-    def _idle(self, server: Server) -> bool:
-        """Room beyond the tokens: next to no wait by enough words, and hardly a set-up out to tell of one."""
-        few = max(1.0, self._carried(server) * self.wait_at_pmax)
-        told = sum(server.words) >= WT
+    def _is_idle(self, server: Server) -> bool:
+        """Whether it has room beyond its tokens: almost no wait in enough samples, and few open set-ups."""
+        max_open = max(1.0, self._fair_rate(server) * self.closing_wait)
+        has_samples = sum(server.wait_counts) >= RATE_STEP_INTERVALS
         return (
-            told
+            has_samples
             and bool(server.throttle)
-            and self._occupancy(server, WT) < IDLE
-            and len(server.open_attempts) <= few
+            and self._occupancy(server, RATE_STEP_INTERVALS) < IDLE_OCCUPANCY
+            and len(server.open_attempts) <= max_open
         )
 
     def _hold(self, call: Call, delay: float) -> None:
         self.held[call.id] = call
-        self.actions.append(i.WakeAfter(delay, HOLD))
+        self.actions.append(interface.WakeAfter(delay, HOLD_TOKEN))
 
     def _release_held(self) -> None:
         for call in list(self.held.values()):
-            if self.now >= min(call.not_before, call.until):
+            if self.now >= min(call.not_before, call.deadline):
                 del self.held[call.id]
                 self._route(call)
 
-    def _finish(self, call: Call) -> None:
-        """The one final answer, at once."""
+    def _refuse_or_fail(self, call: Call) -> None:
+        """Gives the one final answer: a failure if an attempt may have taken effect, else a refusal."""
         if self.calls.pop(call.id, None) is None:
             return
         self.held.pop(call.id, None)
-        if call.may_run:
-            self.actions.append(i.Fail(call.id))
+        if call.may_have_run_at:
+            self.actions.append(interface.Fail(call.id))
         else:
             advice = min(self.settings.max_advice, self.interval) if self.settings.may_advise else 0.0
-            self.actions.append(i.Refuse(call.id, advice))
+            self.actions.append(interface.Refuse(call.id, advice))
 
-    # Guards: every send passes here
+    # Guards: every attempt passes them
 
-    def _allowed(self, call: Call, server: Server) -> bool:
-        if server.told_off is not None or server.free <= 0 or server.number == self.settings.own_number:
+    def _may_use(self, call: Call, server: Server) -> bool:
+        if (
+            server.leaving_since is not None
+            or server.free_lines <= 0
+            or server.number == self.settings.own_number
+        ):
             return False
         if call.call_class.pools is not None and server.number not in call.call_class.pools:
             return False
-        if call.transit and server.number != call.destination:
+        if call.in_transit and server.number != call.destination:
             return False
-        if call.may_run and call.call_class.effect != "free" and (
-            call.call_class.effect == "single_shot" or server is not call.may_run
-            or self.now > call.arrived + call.call_class.dedup_window
+        if call.may_have_run_at and call.call_class.effect != "free" and (
+            call.call_class.effect == "single_shot" or server is not call.may_have_run_at
+            or self.now > call.first_try + call.call_class.dedup_window
         ):  # fmt: skip
             return False
-        return self.now >= server.cold_until or self._cold_room(server)
-
-    def _cold_room(self, server: Server) -> bool:
-        """A token for a cold server: this front's share of what a like server carries, evenly in time.
-
-        Over any stretch of tip_after all fronts together send what they make in it and what was not
-        yet stale before it; the margin covers both, whatever their number."""
-        age = min(1.0, max(0.0, self.now - server.started) / self.settings.warm_after)
-        share = self.settings.cold_share + (1.0 - self.settings.cold_share) * COLD_RAMP * age
-        allowed = self._carried(server) * share * self.settings.tip_multiple * COLD_MARGIN
-        stale = (1.0 - COLD_MARGIN) * self.settings.tip_after
-        server.cold.fill(allowed * (self.now - server.cold_at), allowed * stale)
-        server.cold_at = self.now
-        return server.cold.ready()
-
-    def _carried(self, server: Server) -> float:
-        """Calls a second that a server of this size would take of this front's, by its own history."""
-        size = sum(s.size for s in self.servers.values() if s.told_off is None)
-        return self.rate * server.size / max(size, server.size)
+        return self.now >= server.warm_at or self._has_cold_token(server)
+
+    def _has_cold_token(self, server: Server) -> bool:
+        """Whether a cold server has a token: this instance's share of its present capacity, spread evenly.
+
+        In any window of `tip_after` all instances together send the tokens added within it and those that had
+        not expired before it; the margin covers both, whatever their number."""
+        progress = min(1.0, max(0.0, self.now - server.started) / self.settings.warm_after)
+        capacity = self.settings.cold_share + (1.0 - self.settings.cold_share) * COLD_RAMP * progress
+        rate = self._fair_rate(server) * capacity * self.settings.tip_multiple * COLD_MARGIN
+        unexpired_time = (1.0 - COLD_MARGIN) * self.settings.tip_after
+        server.cold_gate.add(rate * (self.now - server.cold_filled_at), rate * unexpired_time)
+        server.cold_filled_at = self.now
+        return server.cold_gate.has_token()
+
+    def _fair_rate(self, server: Server) -> float:
+        """Calls a second that the server would carry of this instance's traffic, by its size."""
+        size = sum(other.size for other in self.servers.values() if other.leaving_since is None)
+        return self.arrival_rate * server.size / max(size, server.size)
 
     def _send(self, call: Call, server: Server) -> None:
-        if call.attempt_at or self.now < call.not_before or not self._allowed(call, server):
-            self.actions.append(i.Log(f"guard: {call.id} to {server.id}"))  # costs this call, not the front
-            return None if call.attempt_at else self._finish(call)
-        if self.now < server.cold_until:
-            server.cold.take()
+        if call.attempt_at or self.now < call.not_before or not self._may_use(call, server):
+            self.actions.append(interface.Log(f"guard: attempt of {call.id} at {server.id} not allowed"))
+            return None if call.attempt_at else self._refuse_or_fail(call)
+        if self.now < server.warm_at:
+            server.cold_gate.take()
         server.gate.take()
-        call.attempt_at = call.last = server
+        call.attempt_at = call.last_server = server
         server.open_attempts[(call.id, call.tries)] = self.now
-        server.free -= 1.0
+        server.free_lines -= 1.0
         call.tries += 1
-        return self.actions.append(i.Send(call.id, server.id))
+        return self.actions.append(interface.Send(call.id, server.id))
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -1,4 +1,4 @@
-"""The fleet's sum at cold servers in seeded worlds; and that the check can fail."""
+"""The load of a whole fleet on cold servers in seeded worlds, and proof that the check can fail."""
 
 from __future__ import annotations
 
@@ -15,6 +15,6 @@
     assert found["worst"] <= 1.0
 
 
-def test_fronts_that_keep_no_ramp_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(decide.Controller, "_cold_room", lambda self, server: True)
+def test_instances_that_ignore_the_ramp_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(decide.Controller, "_has_cold_token", lambda self, server: True)
     assert World(1, 30).play()["worst"] > 1.0
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,245 +1,249 @@
-"""The parts of the mechanism, by their figures."""
+"""Occupancy, throttle, gate, routing and rescue of the decision module, each by its figures."""
 
 from __future__ import annotations
 
 import pytest
 
-from harepick import decide
-from harepick import interface as i
+from harepick import decide, interface
 
 from .world import World, entries, settings
 
 
-def jam(world: World, server: str, wait: float, span: float = 1.0) -> None:
-    """Reports of this wait for so long."""
+def report_wait(world: World, server: str, wait: float, span: float = 1.0) -> None:
+    """Reports a mean wait of `wait` seconds for `span` seconds."""
     for _ in range(int(span / 0.05)):
-        world.feed(i.Probed(server, i.Outcome.OK, 0.0, {"avg_ms": wait * 1000.0}))
+        world.feed(interface.Probed(server, interface.Outcome.OK, 0.0, {"avg_ms": wait * 1000.0}))
         world.after(0.05)
 
 
-def two() -> World:
+def two_server_world() -> World:
+    """An instance with two servers, s0 and s1."""
     world = World()
     world.servers(*entries(0, 1))
     return world
 
 
 def test_first_choice_while_open() -> None:
-    world = two()
-    for dest in (0, 1, 1, 0):
-        name = world.call(dest)
-        assert world.sent_to(name) == f"s{dest}"
+    world = two_server_world()
+    for destination in (0, 1, 1, 0):
+        name = world.call(destination)
+        assert world.sent_to(name) == f"s{destination}"
         world.after(0.03)
         world.stand(name)
 
 
-def test_occupancy_is_pmax_at_the_set_share_of_the_tightest_aim() -> None:
-    world = two()
-    jam(world, "s0", decide.SHUT_SHARE * 1.0)
-    assert world.c._occupancy(world.c.servers["s0"], decide.WM) == pytest.approx(decide.PMAX)
-    assert world.c._occupancy(world.c.servers["s1"], decide.WM) == 0.0
+def test_occupancy_is_pmax_at_the_configured_share_of_the_shortest_aim() -> None:
+    world = two_server_world()
+    report_wait(world, "s0", decide.CLOSING_WAIT_SHARE * 1.0)
+    assert world.controller._occupancy(
+        world.controller.servers["s0"], decide.MONITOR_INTERVALS
+    ) == pytest.approx(decide.MAX_OCCUPANCY)
+    assert world.controller._occupancy(world.controller.servers["s1"], decide.MONITOR_INTERVALS) == 0.0
 
 
 def test_reported_utilisation_is_occupancy() -> None:
-    world = two()
+    world = two_server_world()
     for _ in range(20):
-        world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"cpu": 0.7}))
+        world.feed(interface.Probed("s0", interface.Outcome.OK, 0.0, {"cpu": 0.7}))
         world.after(0.05)
-    assert world.c._occupancy(world.c.servers["s0"], decide.WM) == pytest.approx(0.7)
+    assert world.controller._occupancy(
+        world.controller.servers["s0"], decide.MONITOR_INTERVALS
+    ) == pytest.approx(0.7)
 
 
-def test_shut_server_sheds_fresh_calls_to_the_other() -> None:
-    world = two()
+def test_calls_for_a_closed_server_are_diverted_to_the_other() -> None:
+    world = two_server_world()
     world.history()
-    jam(world, "s0", 1.0)
-    assert world.c.servers["s0"].throttle == 0
+    report_wait(world, "s0", 1.0)
+    assert world.controller.servers["s0"].throttle == 0
     assert world.sent_to(world.call(0)) == "s1"
 
 
-def test_refused_only_when_every_server_is_shut() -> None:
-    world = two()
+def test_refused_only_when_every_server_is_closed() -> None:
+    world = two_server_world()
     for _ in range(20):
-        world.feed(*(i.Probed(s, i.Outcome.OK, 0.0, {"avg_ms": 900.0}) for s in ("s0", "s1")))
+        world.feed(*(interface.Probed(s, interface.Outcome.OK, 0.0, {"avg_ms": 900.0}) for s in ("s0", "s1")))
         world.after(0.05)
     answer = world.answers[world.call(0)]
-    assert isinstance(answer, i.Refuse) and answer.come_back > 0
+    assert isinstance(answer, interface.Refuse) and answer.come_back > 0
 
 
-def test_reopens_as_old_news_decays() -> None:
-    world = two()
-    jam(world, "s0", 1.0)
-    assert world.c.servers["s0"].throttle == 0
+def test_reopens_as_old_waits_decay() -> None:
+    world = two_server_world()
+    report_wait(world, "s0", 1.0)
+    assert world.controller.servers["s0"].throttle == 0
     world.after(2.0)
-    assert world.c.servers["s0"].throttle == 1
+    assert world.controller.servers["s0"].throttle == 1
 
 
-def test_sticky_until_full_then_redrawn() -> None:
+def test_sticky_server_is_kept_until_full_then_replaced() -> None:
     world = World()
     world.servers(*entries(0, 1, 2))
     world.history()
-    jam(world, "s0", 1.0)
-    for known in world.c.servers.values():
-        known.gate.made += 9.0
-    used = world.sent_to(name := world.call(0))
-    assert used in ("s1", "s2")
+    report_wait(world, "s0", 1.0)
+    for known in world.controller.servers.values():
+        known.gate.added += 9.0
+    sticky = world.sent_to(name := world.call(0))
+    assert sticky in ("s1", "s2")
     world.stand(name)
     for _ in range(4):
         name = world.call(0)
-        assert world.sent_to(name) == used
+        assert world.sent_to(name) == sticky
         world.after(0.02)
         world.stand(name)
     name = world.call(0)
-    world.end(name, i.Outcome.FULL, cause=1)
-    assert world.sent_to(name) not in (None, used)
+    world.end(name, interface.Outcome.FULL, cause=1)
+    assert world.sent_to(name) not in (None, sticky)
 
 
-def test_age_of_unanswered_set_ups_shuts_a_silent_server() -> None:
-    world = two()
+def test_age_of_unanswered_set_ups_closes_a_silent_server() -> None:
+    world = two_server_world()
     world.call(0)
     world.after(0.9)
-    assert world.c.servers["s0"].throttle == 0
+    assert world.controller.servers["s0"].throttle == 0
     assert world.sent_to(world.call(0)) == "s1"
 
 
-def test_one_lost_set_up_among_answered_ones_shuts_nothing() -> None:
-    world = two()
+def test_one_lost_set_up_among_answered_ones_closes_nothing() -> None:
+    world = two_server_world()
     world.call(0)
     for _ in range(8):
         name = world.call(0)
         world.after(0.1)
         world.stand(name)
-    assert world.c.servers["s0"].throttle == 1
+    assert world.controller.servers["s0"].throttle == 1
 
 
-def test_rate_tightens_while_shut_and_loosens_when_calm() -> None:
-    world = two()
+def test_gate_rate_falls_while_closed_and_recovers_when_idle() -> None:
+    world = two_server_world()
     for _ in range(20):
         name = world.call(0)
         world.after(0.05)
         world.stand(name)
-    server = world.c.servers["s0"]
-    jam(world, "s0", 1.0, 2.0)
-    tight = server.gate_rate
-    assert server.max_gate_rate * decide.RMIN_SHARE <= tight < server.max_gate_rate / 2
+    server = world.controller.servers["s0"]
+    report_wait(world, "s0", 1.0, 2.0)
+    closed_rate = server.gate_rate
+    assert server.max_gate_rate * decide.MIN_GATE_RATE_SHARE <= closed_rate < server.max_gate_rate / 2
     world.after(4.0)
-    assert tight < server.gate_rate <= server.max_gate_rate
+    assert closed_rate < server.gate_rate <= server.max_gate_rate
 
 
-def test_a_reopened_server_takes_fresh_calls_through_the_gate() -> None:
-    world = two()
+def test_a_reopened_server_takes_new_calls_through_the_gate() -> None:
+    world = two_server_world()
     for _ in range(20):
         name = world.call(0)
         world.after(0.05)
         world.stand(name)
-    jam(world, "s0", 1.0, 2.0)
-    server = world.c.servers["s0"]
+    report_wait(world, "s0", 1.0, 2.0)
+    server = world.controller.servers["s0"]
     while server.throttle == 0:
         world.after(0.05)
-        world.feed(i.Probed("s1", i.Outcome.OK, 0.0, {"avg_ms": 0.0}))
-    assert server.eased
+        world.feed(interface.Probed("s1", interface.Outcome.OK, 0.0, {"avg_ms": 0.0}))
+    assert server.recovering
     sent = [world.sent_to(world.call(0)) for _ in range(10)]
     assert sent.count("s0") <= max(1.0, server.max_gate_rate) / 2
     assert sent.count("s1") >= 1
 
 
-def test_dear_class_passes_the_gate_of_a_shut_server() -> None:
-    world = two()
+def test_a_class_of_high_worth_passes_the_gate_of_a_closed_server() -> None:
+    world = two_server_world()
     for _ in range(30):
         name = world.call(0)
         world.after(0.05)
         world.stand(name)
     for _ in range(10):
-        world.feed(*(i.Probed(s, i.Outcome.OK, 0.0, {"avg_ms": 900.0}) for s in ("s0", "s1")))
+        world.feed(*(interface.Probed(s, interface.Outcome.OK, 0.0, {"avg_ms": 900.0}) for s in ("s0", "s1")))
         world.after(0.05)
-    assert world.c.servers["s0"].throttle == 0 == world.c.servers["s1"].throttle
-    assert isinstance(world.answers.get(world.call(0, "low")), i.Refuse)
+    assert world.controller.servers["s0"].throttle == 0 == world.controller.servers["s1"].throttle
+    assert isinstance(world.answers.get(world.call(0, "low")), interface.Refuse)
     assert world.sent_to(world.call(0, "high")) is not None
 
 
-def test_faults_shut_a_server_only_when_they_recur() -> None:
-    world = two()
-    server = world.c.servers["s0"]
+def test_faults_close_a_server_only_when_they_recur() -> None:
+    world = two_server_world()
+    server = world.controller.servers["s0"]
     name = world.call(0)
-    world.end(name, i.Outcome.ERROR)
+    world.end(name, interface.Outcome.ERROR)
     assert world.sent_to(name) == "s1"
     world.after(0.5)
     assert server.throttle == 1
     for _ in range(5):
-        world.end(world.call(0), i.Outcome.UNREACHED)
+        world.end(world.call(0), interface.Outcome.UNREACHED)
     world.after(0.3)
     assert server.throttle == 0
 
 
 def test_busy_lines_of_the_number_end_the_call() -> None:
-    world = two()
+    world = two_server_world()
     name = world.call(0)
-    world.end(name, i.Outcome.ERROR, cause=4)
-    assert isinstance(world.answers[name], i.Fail)
-    assert world.c.servers["s0"].faults == 0.0
+    world.end(name, interface.Outcome.ERROR, cause=4)
+    assert isinstance(world.answers[name], interface.Fail)
+    assert world.controller.servers["s0"].fault_share == 0.0
 
 
-def test_a_pool_without_lines_is_passed_over() -> None:
-    world = two()
+def test_a_pool_without_free_lines_is_skipped() -> None:
+    world = two_server_world()
     world.history()
-    world.end(world.call(0), i.Outcome.FULL, cause=1)
+    world.end(world.call(0), interface.Outcome.FULL, cause=1)
     assert world.sent_to(world.call(0)) == "s1"
-    world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"free": 3}))
+    world.feed(interface.Probed("s0", interface.Outcome.OK, 0.0, {"free": 3}))
     assert world.sent_to(world.call(0)) == "s0"
 
 
-def test_restart_voids_estimates() -> None:
-    world = two()
-    jam(world, "s0", 1.0)
-    world.servers(*entries(0, started=world.now), kind=i.ListKind.CHANGES)
-    assert world.c.servers["s0"].throttle == 1
+def test_restart_resets_estimates() -> None:
+    world = two_server_world()
+    report_wait(world, "s0", 1.0)
+    world.servers(*entries(0, started=world.now), kind=interface.ListKind.CHANGES)
+    assert world.controller.servers["s0"].throttle == 1
 
 
 def test_phases_differ_between_seeds_and_repeat_for_one() -> None:
-    first = [World(seed=n).timers[0][0] for n in range(8)]
+    first = [World(seed=number).timers[0][0] for number in range(8)]
     assert len(set(first)) == 8
-    assert first == [World(seed=n).timers[0][0] for n in range(8)]
+    assert first == [World(seed=number).timers[0][0] for number in range(8)]
 
 
-def test_settings_scale_the_interval() -> None:
-    config = settings(classes=(i.CallClass("x", 4.0, 20.0, 1.0),))
-    assert World(config).c.interval == pytest.approx(4.0 / decide.INTERVALS_PER_AIM)
+def test_the_interval_follows_the_shortest_aim() -> None:
+    config = settings(classes=(interface.CallClass("x", 4.0, 20.0, 1.0),))
+    assert World(config).controller.interval == pytest.approx(4.0 / decide.INTERVALS_PER_AIM)
 
 
-def test_shed_traffic_does_not_topple_a_small_neighbour() -> None:
-    """A hung server shut at once sent all its traffic to one a sixth of its size."""
+def test_diverted_calls_do_not_overload_a_small_server() -> None:
+    """When a hung server was closed, all its traffic went to one of a sixth of its size."""
     world = World()
-    world.servers(i.ServerEntry("s0", 0, "ready", 6.0), i.ServerEntry("s1", 1, "ready", 1.0))
-    for n in range(70):
-        name = world.call(0 if n % 7 else 1)
+    world.servers(interface.ServerEntry("s0", 0, "ready", 6.0), interface.ServerEntry("s1", 1, "ready", 1.0))
+    for number in range(70):
+        name = world.call(0 if number % 7 else 1)
         world.after(0.1)
         world.stand(name)
-    jam(world, "s0", 5.0, 0.5)
+    report_wait(world, "s0", 5.0, 0.5)
     before = len(world.sends)
     for _ in range(30):
         world.call(0)
     spilled = sum(server == "s1" for _, _, server in world.sends[before:])
-    assert 1 <= spilled <= world.c.servers["s1"].max_gate_rate + 2
+    assert 1 <= spilled <= world.controller.servers["s1"].max_gate_rate + 2
 
 
-def test_a_lost_set_up_does_not_keep_a_speaking_server_shut() -> None:
-    """One set-up without any answer held the largest server of a fleet shut for six seconds."""
-    world = two()
-    world.call(0, give=9.0)
+def test_a_lost_set_up_does_not_keep_an_active_server_closed() -> None:
+    """One set-up that was never answered kept a healthy server closed for six seconds."""
+    world = two_server_world()
+    world.call(0, patience=9.0)
     for _ in range(30):
         world.after(0.1)
-        world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"avg_ms": 0.0}))
-    assert world.c.servers["s0"].throttle == 1
+        world.feed(interface.Probed("s0", interface.Outcome.OK, 0.0, {"avg_ms": 0.0}))
+    assert world.controller.servers["s0"].throttle == 1
 
 
-def test_a_wholly_silent_server_stays_shut() -> None:
-    world = two()
-    world.call(0, give=9.0)
+def test_a_silent_server_stays_closed() -> None:
+    world = two_server_world()
+    world.call(0, patience=9.0)
     world.after(3.0)
-    assert world.c.servers["s0"].throttle == 0
+    assert world.controller.servers["s0"].throttle == 0
 
 
 def test_a_set_up_overtaken_by_a_later_answer_is_cancelled_and_tried_elsewhere() -> None:
-    """Most set-ups to one server went unanswered while it served the rest: each waited for its deadline."""
-    world = two()
+    """A server lost most set-ups and answered the rest: each lost one waited for its deadline."""
+    world = two_server_world()
     lost = world.call(0)
     world.after(0.28)
     later = world.call(0)
@@ -248,14 +252,14 @@
     world.cancelled = ""
     world.after(0.3)
     assert world.cancelled == lost
-    world.end(lost, i.Outcome.CANCELLED)
+    world.end(lost, interface.Outcome.CANCELLED)
     world.after(0.6)
     assert world.sent_to(lost) == "s1"
-    assert world.c.servers["s0"].faults > 0
+    assert world.controller.servers["s0"].fault_share > 0
 
 
-def test_a_wholly_silent_server_loses_its_calls_to_an_open_one() -> None:
-    world = two()
+def test_calls_at_a_silent_server_are_cancelled_while_another_is_open() -> None:
+    world = two_server_world()
     for _ in range(40):
         name = world.call(0)
         world.after(0.05)
@@ -266,78 +270,78 @@
     assert world.cancelled == name
 
 
-def test_a_send_takes_one_of_the_told_free_lines() -> None:
-    """Several calls at once used the one free line told of; the losers pressed other servers."""
-    world = two()
-    world.feed(i.Probed("s0", i.Outcome.OK, 0.0, {"free": 1}))
+def test_a_send_uses_one_of_the_reported_free_lines() -> None:
+    """Several calls were sent to the one free line reported; those rejected loaded other servers."""
+    world = two_server_world()
+    world.feed(interface.Probed("s0", interface.Outcome.OK, 0.0, {"free": 1}))
     first, second = world.call(0), world.call(0)
     assert [world.sent_to(first), world.sent_to(second)] == ["s0", "s1"]
-    world.end(first, i.Outcome.OK)
+    world.end(first, interface.Outcome.OK)
     assert world.sent_to(world.call(0)) == "s0"
 
 
-def test_a_redial_past_its_aim_yields_where_there_is_pressure() -> None:
-    """Callers dialling again too late to earn in full took the room of calls that still could."""
-    world = two()
-    world.c.servers["s0"].eased = True
-    for known in world.c.servers.values():
-        known.gate.made += 5.0
+def test_a_redial_past_its_aim_yields_where_there_is_load() -> None:
+    """Redials too late to earn their full worth took the capacity of calls that still could."""
+    world = two_server_world()
+    world.controller.servers["s0"].recovering = True
+    for known in world.controller.servers.values():
+        known.gate.added += 5.0
     late = world.now + 3.0
-    for name, number in (("first", 55), ("other", 66)):
+    for name, dialled in (("first", 55), ("other", 66)):
         world.deadline[name] = late
-        world.feed(i.CallArrived(name, 0, late, "low", number=number))
+        world.feed(interface.CallArrived(name, 0, late, "low", number=dialled))
         assert world.sent_to(name) == "s0"
-        world.end(name, i.Outcome.ERROR, cause=4)
+        world.end(name, interface.Outcome.ERROR, cause=4)
     world.after(1.3)
-    server = world.c.servers["s0"]
-    server.eased = True
-    server.gate.made += 5.0
-    for name, number, wanted in (("again", 55, "s1"), ("fresh", 77, "s0")):
+    server = world.controller.servers["s0"]
+    server.recovering = True
+    server.gate.added += 5.0
+    for name, dialled, wanted in (("again", 55, "s1"), ("fresh", 77, "s0")):
         world.deadline[name] = world.now + 3.0
-        world.feed(i.CallArrived(name, 0, world.now + 3.0, "low", number=number))
+        world.feed(interface.CallArrived(name, 0, world.now + 3.0, "low", number=dialled))
         assert world.sent_to(name) == wanted
 
 
-def test_the_end_of_a_call_is_a_word_from_a_server_that_reports_nothing() -> None:
-    """Where nothing is reported, one lost set-up kept servers shut while calls ended there."""
-    world = two()
+def test_the_end_of_a_call_counts_as_activity_of_a_server_without_reports() -> None:
+    """Without reports, one lost set-up kept a server closed although calls ended there."""
+    world = two_server_world()
     old = [world.call(0) for _ in range(12)]
     for name in old:
-        n, attempt = world.out.pop(name)
+        number, attempt = world.open_attempts.pop(name)
         world.answers[name] = "stands"
-        world.feed(i.CallStands(name, n, attempt.server, 0.03))
-    lost = world.call(0, give=9.0)
+        world.feed(interface.CallStands(name, number, attempt.server, 0.03))
+    lost = world.call(0, patience=9.0)
     assert world.sent_to(lost) == "s0"
     for name in old:
         world.after(0.2)
-        world.feed(i.AttemptEnded(name, 0, "s0", i.Outcome.OK, 1.0, True))
-    assert world.c.servers["s0"].throttle == 1
+        world.feed(interface.AttemptEnded(name, 0, "s0", interface.Outcome.OK, 1.0, True))
+    assert world.controller.servers["s0"].throttle == 1
 
 
-def test_a_server_that_answers_errors_is_neither_shut_nor_first() -> None:
-    """One answered eight of ten with an error at once: shut for it, it left the calls to a server too small
-    for them, and six of ten were refused. Tried again, most of them stand."""
+def test_a_server_that_answers_errors_is_neither_closed_nor_preferred() -> None:
+    """A server answered eight of ten set-ups with an error. Closing it left all calls to a server too small
+    for them, and six of ten were refused; repeated at the failing server, most of them stand."""
     world = World()
     world.servers(*entries(0, 1))
     world.history()
-    for _ in range(8):  # s0 errs: each call goes on to the other one
+    for _ in range(8):  # s0 answers errors: each call goes on to s1
         name = world.call(0)
         world.after(0.03)
         if world.sent_to(name) == "s0":
-            world.end(name, i.Outcome.ERROR)
+            world.end(name, interface.Outcome.ERROR)
         assert world.sent_to(name) == "s1"
         world.after(0.02)
         world.stand(name)
         world.after(0.3)
     name = world.call(0)
-    assert world.sent_to(name) == "s1"  # by now before it was tried there
+    assert world.sent_to(name) == "s1"  # preferred by now, without an attempt at s0
     world.stand(name)
-    world.servers(*entries(1, state="draining"), kind=i.ListKind.CHANGES)
+    world.servers(*entries(1, state="draining"), kind=interface.ListKind.CHANGES)
     name = world.call(0)
-    for _ in range(3):  # alone, it is tried again and again, and not shut
+    for _ in range(3):  # as the only server, s0 is tried again and not closed
         assert world.sent_to(name) == "s0"
         world.after(0.03)
-        world.end(name, i.Outcome.ERROR)
+        world.end(name, interface.Outcome.ERROR)
     assert world.sent_to(name) == "s0"
     world.after(0.03)
     world.stand(name)
@@ -345,29 +349,31 @@
     assert world.sent_to(world.call(0)) == "s0"
 
 
-def test_calls_go_to_the_successor_of_a_server_before_the_drain_is_told() -> None:
-    """In a release the new one is announced a second or more ahead of the drain: what was still set up at
-    the old one in between was cut when it stopped, a tenth of a day's calls."""
+def test_calls_go_to_the_successor_of_a_server_before_it_drains() -> None:
+    """In a release the new server is listed a second or more before the old one drains. Calls that were set
+    up at the old one in between were cut when it stopped: a tenth of a day's calls."""
     world = World()
     world.servers(*entries(0, 1))
     world.history()
-    new = i.ServerEntry("n0", 0, "ready", 1.0, world.now - 30.0)  # up, and warm
-    world.servers(new, kind=i.ListKind.CHANGES)
+    new = interface.ServerEntry("n0", 0, "ready", 1.0, world.now - 30.0)  # up, and warm
+    world.servers(new, kind=interface.ListKind.CHANGES)
     for _ in range(5):
         name = world.call(0)
         assert world.sent_to(name) == "n0"
         world.after(0.02)
         world.stand(name)
         world.after(0.2)
-    world.servers(i.ServerEntry("n0", 0, "draining", 1.0, new.started), kind=i.ListKind.CHANGES)
-    assert world.sent_to(world.call(0)) == "s0"  # the other way round: nobody is left without a server
+    world.servers(
+        interface.ServerEntry("n0", 0, "draining", 1.0, new.started), kind=interface.ListKind.CHANGES
+    )
+    assert world.sent_to(world.call(0)) == "s0"  # without a successor the old one is used again
 
 
-def test_a_front_is_young_for_some_intervals_whatever_its_aims() -> None:
-    """Three seconds were eight intervals where calls have 1.5 s; where they have 0.4 s, a front held its
-    own traffic for thin until long after its start, and a server that it had shut once stayed eased in."""
-    brisk = i.CallClass("low", aim=0.4, give_up=3.0, worth=1.0)
-    world = World(settings(classes=(brisk,)))
+def test_the_start_up_average_is_counted_in_intervals_whatever_the_aims() -> None:
+    """A start-up time of three seconds is eight intervals with aims of 1.5 s. With aims of 0.4 s an instance
+    underestimated its own traffic until long after its start, and a server closed once kept recovering."""
+    short_aim = interface.CallClass("low", aim=0.4, give_up=3.0, worth=1.0)
+    world = World(settings(classes=(short_aim,)))
     world.servers(*entries(0))
     for _ in range(40):
         name = world.call(0)
@@ -375,4 +381,4 @@
         if world.sent_to(name):
             world.stand(name)
         world.after(0.015)
-    assert 25.0 < world.c.rate < 45.0  # of the 40 a second that came
+    assert 25.0 < world.controller.arrival_rate < 45.0  # of the 40 a second that came
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example of a front that takes the module in as a library."""
+"""The README's example of a program that uses the decision module as a library."""
 
 from __future__ import annotations
 
