--- a/harepick/__init__.py
+++ b/harepick/__init__.py
@@ -1,4 +1,4 @@
-"""Overload control decisions of a call controller in front of a few central servers."""
+"""Overload control for a border controller in front of a few setup servers."""
 
 from harepick.decide import Controller
 from harepick.interface import (
--- a/harepick/lifecycle.py
+++ b/harepick/lifecycle.py
@@ -1,4 +1,4 @@
-"""What both fronts share of start and stop."""
+"""Start and stop, common to the listeners for callers and for DNS."""
 
 from __future__ import annotations
 
@@ -11,17 +11,19 @@
 
 
 class Front(Protocol):
+    """A service that the program runs: it accepts requests and answers them."""
+
     async def run(self, stop: anyio.Event, *, task_status: TaskStatus[None]) -> None:
-        """Serves until `stop`, then answers all that is owed."""
+        """Serves until `stop` is set, then answers all open requests."""
 
     def reload(self) -> None:
-        """Reads again what may change while the program runs."""
+        """Reloads the settings that may change at run time."""
 
 
-async def wait_until(done: Callable[[], bool], most: float, least: float = 0.0) -> None:
-    """Waits until `done`, for `least` at least and `most` at most."""
-    start = time.monotonic()  # the Unix clock may be set meanwhile
-    while time.monotonic() - start < most:
-        if time.monotonic() - start >= least and done():
+async def wait_until(done: Callable[[], bool], timeout: float, min_wait: float = 0.0) -> None:
+    """Polls `done` until it is true; waits at least `min_wait` and at most `timeout` seconds."""
+    start = time.monotonic()  # the wall clock may be changed meanwhile
+    while time.monotonic() - start < timeout:
+        if time.monotonic() - start >= min_wait and done():
             return
         await anyio.sleep(0.02)
--- a/harepick/log.py
+++ b/harepick/log.py
@@ -1,7 +1,7 @@
-"""The log: structlog with orjson, one JSON line an event, on standard error.
+"""The log: structlog with orjson, one JSON line per event, on standard error.
 
-Owns the writing thread. Logging never blocks (a full queue drops the line and counts it) and never floods
-(each event name has so many lines a second; what is left out is told with the next line that gets through).
+A thread of its own writes the lines. Logging never blocks (a full queue drops the line and counts it) and is
+limited to a rate per event name; the next line of that name tells how many were dropped (`left_out`).
 """
 
 from __future__ import annotations
@@ -17,63 +17,70 @@
 import orjson
 import structlog
 
-QUEUE = 2_000
-LINES_A_SECOND = 20.0  # of one event name
+MAX_QUEUED_LINES = 2_000
+MAX_LINES_PER_SECOND = 20.0  # of one event name
 
 Line = MutableMapping[str, Any]
 
 
 class Log:
+    """Writes events to a file descriptor, `lines_a_second` of each event name at most.
+
+    `name` is added to every line; `queue_size` lines may wait to be written.
+    """
+
     def __init__(
         self,
         name: str = "",
         fd: int = 2,
         *,
-        lines_a_second: float = LINES_A_SECOND,
-        queue_size: int = QUEUE,
+        lines_a_second: float = MAX_LINES_PER_SECOND,
+        queue_size: int = MAX_QUEUED_LINES,
     ) -> None:
         self._name = name
         self._fd = fd
-        self._rate = lines_a_second  # of one event name
+        self._rate = lines_a_second
         self._queue: queue.Queue[bytes | None] = queue.Queue(queue_size)
-        self._allowance: dict[str, tuple[float, float, int]] = {}  # event -> (tokens, when, left out)
+        self._buckets: dict[str, tuple[float, float, int]] = {}  # event -> (tokens, updated at, dropped)
         self._thread = threading.Thread(target=self._write, daemon=True)
         self._thread.start()
         render = structlog.processors.JSONRenderer(orjson.dumps, default=str)
         self._log = structlog.wrap_logger(
-            _Queued(self._put), processors=[self._shape, render], wrapper_class=structlog.BoundLogger
+            _Queued(self._put), processors=[self._order_keys, render], wrapper_class=structlog.BoundLogger
         ).bind()
 
     def event(self, event: str, **fields: object) -> None:
-        """One event, unless its name has had its share of this second: that is looked at first, as it has to
-        cost next to nothing in a flood."""
+        """Logs one event, unless its name has exceeded its rate.
+
+        The rate is checked first, so that a flood of events costs little.
+        """
         now = time.time()
         rate = self._rate
-        tokens, when, left_out = self._allowance.get(event, (rate, now, 0))
-        tokens = min(rate, tokens + (now - when) * rate) if rate < inf else inf
+        tokens, updated_at, dropped = self._buckets.get(event, (rate, now, 0))
+        tokens = min(rate, tokens + (now - updated_at) * rate) if rate < inf else inf
         if tokens < 1.0:
-            self._allowance[event] = (tokens, now, left_out + 1)
+            self._buckets[event] = (tokens, now, dropped + 1)
             return
-        self._allowance[event] = (tokens - 1.0, now, 0)
-        self._log.info(event, _now=now, _left_out=left_out, **fields)
+        self._buckets[event] = (tokens - 1.0, now, 0)
+        self._log.info(event, _now=now, _left_out=dropped, **fields)
 
     def close(self, wait: float = 1.0) -> None:
-        """Writes what is queued; gives up after `wait` if nobody reads."""
+        """Writes the queued lines; gives up after `wait` seconds if nobody reads them."""
         try:
             self._queue.put(None, timeout=wait)
         except queue.Full:
             return
         self._thread.join(wait)
 
-    def _shape(self, _: object, __: str, line: Line) -> Line:
-        """The line's form: when, what and who first, then the fields as they were given."""
-        shaped: Line = {"at": round(line.pop("_now"), 3), "event": line.pop("event")}
+    def _order_keys(self, _logger: object, _method: str, line: Line) -> Line:
+        """Orders the keys of a line: time, event and name, then the fields as they were given."""
+        ordered: Line = {"at": round(line.pop("_now"), 3), "event": line.pop("event")}
         if self._name:
-            shaped["name"] = self._name
-        if left_out := line.pop("_left_out"):
-            shaped["left_out"] = left_out
-        shaped.update(line)
-        return shaped
+            ordered["name"] = self._name
+        if dropped := line.pop("_left_out"):
+            ordered["left_out"] = dropped
+        ordered.update(line)
+        return ordered
 
     # Writing
 
@@ -82,8 +89,8 @@
             self._queue.put_nowait(line + b"\n")
         except queue.Full:
             event = str(orjson.loads(line)["event"])
-            tokens, when, left_out = self._allowance[event]
-            self._allowance[event] = (tokens, when, left_out + 1)
+            tokens, updated_at, dropped = self._buckets[event]
+            self._buckets[event] = (tokens, updated_at, dropped + 1)
 
     def _write(self) -> None:
         while (line := self._queue.get()) is not None:
@@ -91,11 +98,11 @@
                 try:
                     line = line[os.write(self._fd, line) :]
                 except OSError:
-                    break  # nobody reads any more: the program goes on without a log
+                    break  # the reader is gone: the program goes on without a log
 
 
 class _Queued:
-    """What structlog takes for a logger: hands each rendered line on."""
+    """The logger that structlog wraps: passes each rendered line to `put`."""
 
     def __init__(self, put: Any) -> None:
         self.info = put
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The log's lines: their form, the bound for each event name, and a queue that never blocks."""
+"""The log: the form of its lines, the rate limit per event name, and a queue that never blocks."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 import orjson
 
-from harepick.log import LINES_A_SECOND, QUEUE, Log
+from harepick.log import MAX_LINES_PER_SECOND, MAX_QUEUED_LINES, Log
 
 
-def test_a_line_has_its_form_and_a_name_its_share() -> None:
+def test_line_form_and_rate_limit_per_event_name() -> None:
     read, write = os.pipe()
     log = Log("n0", write)
-    for n in range(50):
-        log.event("often", n=n, odd=object)
+    for number in range(50):
+        log.event("often", n=number, odd=object)
     log.event("once", at_work=True)
     log.close()
     os.close(write)
     with os.fdopen(read, "rb") as stream:
         lines = [orjson.loads(line) for line in stream]
-    assert len([line for line in lines if line["event"] == "often"]) == LINES_A_SECOND
+    assert len([line for line in lines if line["event"] == "often"]) == MAX_LINES_PER_SECOND
     assert list(lines[0]) == ["at", "event", "name", "n", "odd"] and lines[0]["name"] == "n0"
     assert lines[-1]["event"] == "once" and lines[-1]["at_work"] is True
 
 
-def test_what_was_left_out_is_told_with_the_next_line() -> None:
+def test_the_next_line_tells_how_many_were_dropped() -> None:
     read, write = os.pipe()
     log = Log("", write)
     for _ in range(25):
         log.event("often")
-    tokens, when, left_out = log._allowance["often"]
-    assert left_out == 5
-    log._allowance["often"] = (tokens, when - 1.0, left_out)
+    tokens, updated_at, dropped = log._buckets["often"]
+    assert dropped == 5
+    log._buckets["often"] = (tokens, updated_at - 1.0, dropped)
     log.event("often")
     log.close()
     os.close(write)
@@ -39,10 +39,10 @@
         assert orjson.loads(stream.read().splitlines()[-1])["left_out"] == 5
 
 
-def test_a_log_that_nobody_reads_blocks_nobody() -> None:
+def test_a_log_without_a_reader_does_not_block() -> None:
     read, write = os.pipe()
     log = Log("", write)
-    for n in range(QUEUE + 200):  # the pipe takes 64 KiB, the queue the rest
-        log.event(f"e{n}", text="x" * 200)
+    for number in range(MAX_QUEUED_LINES + 200):  # the pipe holds 64 KiB, the queue the rest
+        log.event(f"e{number}", text="x" * 200)
     log.close(0.05)
     os.close(read)
