--- a/harepick/core/__init__.py
+++ b/harepick/core/__init__.py
@@ -1,1 +1,1 @@
-"""The core: one task that owns the decision module, and the ledger of its calls. It knows no wire."""
+"""The core: one task that owns the decision module, and the table of open calls. It knows no protocol."""
--- a/harepick/core/call_table.py
+++ b/harepick/core/call_table.py
@@ -1,7 +1,7 @@
-"""The call ledger: owns the state of every call, from its offer to its end.
+"""The table of open calls, from the offer of a call to its end.
 
-It holds to one final answer, one attempt out, the numbers of attempts and the deadline. What it is asked
-about an unknown call, or one past that state, it answers with None: late or duplicate words do no harm.
+A call has one final answer, at most one open attempt, and numbered attempts. Queries for an unknown call,
+or one past that state, return None, so that late or duplicate messages do no harm.
 """
 
 from __future__ import annotations
@@ -14,26 +14,31 @@
 
 @dataclass(slots=True, eq=False)
 class CallRecord:
+    """The state of one call."""
+
     offer: Offer
-    limit: int  # attempts, as the settings said when it was taken
-    tries: int = 0
-    out: Attempt | None = None
-    answered: bool = False  # the final answer has been given, or the caller has gone and none is owed
-    standing_at: str | None = None
-    stood: float = 0.0  # when it was answered
-    standing_attempt: int = -1
+    attempt_limit: int  # attempts allowed by the settings when it was accepted
+    tries: int = 0  # attempts so far
+    open_attempt: Attempt | None = None
+    answered: bool = False  # the final answer was given, or the caller has left and needs none
+    standing_server: str | None = None  # where the call stands
+    stood_at: float = 0.0  # time of the answer
+    standing_attempt: int = -1  # number of the attempt that was answered
 
 
 class CallTable:
-    def __init__(self, room: int) -> None:
+    """All open calls by id, `capacity` at most, which may be changed."""
+
+    def __init__(self, capacity: int) -> None:
         self._calls: dict[str, CallRecord] = {}
-        self.capacity = room
+        self.capacity = capacity
 
     def __len__(self) -> int:
         return len(self._calls)
 
     @property
     def full(self) -> bool:
+        """Whether no further call may be added."""
         return len(self._calls) >= self.capacity
 
     def __contains__(self, call: str) -> bool:
@@ -42,36 +47,42 @@
     def get(self, call: str) -> CallRecord | None:
         return self._calls.get(call)
 
-    def book(self, offer: Offer, limit: int) -> CallRecord:
-        entry = self._calls[offer.call] = CallRecord(offer, limit)
-        return entry
+    def add(self, offer: Offer, attempt_limit: int) -> CallRecord:
+        """Adds a call that may have `limit` attempts."""
+        record = self._calls[offer.call] = CallRecord(offer, attempt_limit)
+        return record
 
-    def owed(self, call: str) -> CallRecord | None:
-        """The call if it still waits for its final answer."""
-        entry = self._calls.get(call)
-        return entry if entry and not entry.answered else None
+    def get_unanswered(self, call: str) -> CallRecord | None:
+        """The call, if it still waits for its final answer."""
+        record = self._calls.get(call)
+        return record if record and not record.answered else None
 
     def standing(self, server: str | None = None) -> Iterator[CallRecord]:
-        for entry in list(self._calls.values()):
-            if entry.standing_at is not None and server in (None, entry.standing_at):
-                yield entry
+        """Standing calls, at `server` or at any."""
+        for record in list(self._calls.values()):
+            if record.standing_server is not None and server in (None, record.standing_server):
+                yield record
 
     def pending(self) -> int:
-        """Calls owed their final answer or standing."""
-        return sum(1 for e in self._calls.values() if not e.answered or e.standing_at is not None)
+        """Number of calls that are unanswered or standing."""
+        return sum(
+            1 for record in self._calls.values() if not record.answered or record.standing_server is not None
+        )
 
     def under_way(self, server: str) -> int:
-        """Calls with an attempt out at that server, or standing there."""
+        """Number of calls with an open attempt at the server, or standing there."""
         return sum(
             1
-            for entry in self._calls.values()
-            if entry.standing_at == server or (entry.out is not None and entry.out.server == server)
+            for record in self._calls.values()
+            if record.standing_server == server
+            or (record.open_attempt is not None and record.open_attempt.server == server)
         )
 
     def unanswered(self) -> list[CallRecord]:
-        return [entry for entry in self._calls.values() if not entry.answered]
+        """Calls that wait for their final answer."""
+        return [record for record in self._calls.values() if not record.answered]
 
-    def close(self, entry: CallRecord) -> None:
-        """Drops a call that has neither an answer owed, nor an attempt out, nor stands."""
-        if entry.answered and entry.out is None and entry.standing_at is None:
-            self._calls.pop(entry.offer.call, None)
+    def close(self, record: CallRecord) -> None:
+        """Removes a call that is answered, has no open attempt and does not stand."""
+        if record.answered and record.open_attempt is None and record.standing_server is None:
+            self._calls.pop(record.offer.call, None)
--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -1,8 +1,8 @@
 """The engine: the one task that owns the `Controller`.
 
-It drains the inbox into a batch, has the ledger book each word, steps the module, and hands the module's
-actions to the ports. It decides nothing itself: attempt numbers and outcomes are those that the simulator
-would give, so that the module sees the same world on sockets as on the bench.
+It takes batches of messages from the inbox, updates the call table, steps the controller and passes its
+actions to the ports. It decides nothing itself. Attempt numbers and outcomes are those that the simulator
+would give, so that the controller behaves the same on sockets and in the simulator.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import anyio
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.call_table import CallRecord, CallTable
 from harepick.core.inbox import Inbox
 from harepick.core.messages import (
@@ -38,22 +38,30 @@
 from harepick.decide import Controller
 from harepick.log import Log
 
-# After a batch, words gather for so long: the price of a turn of the loop, of its timer and of each write is
-# shared by all of them. A word that finds the core idle is heard at once. The bench's own batch is 5 ms.
-GATHER = 0.003
-SETTLED = (i.Outcome.FULL, i.Outcome.UNREACHED, i.Outcome.MOOT)
+# Pause after a batch in which messages collect, so that they share the cost of a turn of the event loop, of
+# its timer and of the writes. A message that finds the core idle is handled at once; the simulator batches
+# by 5 ms.
+BATCH_DELAY_S = 0.003
+# Ends of attempts that took no effect; a cancel does not change them.
+NO_EFFECT_OUTCOMES = (interface.Outcome.FULL, interface.Outcome.UNREACHED, interface.Outcome.MOOT)
 
 
 class Engine:
+    """Runs the controller on messages from the inbox and keeps the table of open calls.
+
+    `capacity` is the number of calls that may be open at once; `clock` returns Unix time in seconds. Without
+    a `gate` calls may always start; without a `screen` no call is gapped.
+    """
+
     def __init__(
         self,
-        settings: i.Settings,
+        settings: interface.Settings,
         seed: int,
         servers: Servers,
         inbox: Inbox,
         counters: Counters,
         log: Log,
-        room: int = 20_000,
+        capacity: int = 20_000,
         clock: Callable[[], float] = time.time,
         gate: Gate | None = None,
         screen: Screen | None = None,
@@ -65,189 +73,197 @@
         self._log = log
         self._clock = clock
         self._gate = gate
-        self.screen = screen  # a front sets it when gaps are configured, also at a reload
-        self._ledger = CallTable(room)
+        self.screen = screen  # set by the service when gaps are configured, also at a reload
+        self._calls = CallTable(capacity)
         self._timers: Timers[int | Attempt | CallRecord] = Timers()
-        self._ready: set[str] = set()  # servers that set-ups may leave for
-        self._listed: dict[str, float] = {}  # servers in the list that are not gone -> their last start
-        self._late: deque[i.Event] = deque()  # ends of attempts that were over as soon as placed
-        # Calls given up in this batch: booked until the module has heard of it, or a set-up that it decided
-        # on before that would never end, and would stay open in its view of that server.
-        self._leaving: list[CallRecord] = []
+        self._ready_servers: set[str] = set()  # servers to which set-ups may be sent
+        self._start_times: dict[str, float] = {}  # listed servers that are not gone -> last start
+        self._late_events: deque[interface.Event] = deque()  # ends of attempts that ended while being placed
+        # Calls given up in this batch. They stay in the table until the controller knows of it: otherwise an
+        # attempt that it decided on before would never end and would stay open in its state of that server.
+        self._given_up: list[CallRecord] = []
         self._controller = Controller(settings, seed, clock())
-        self.avoided: frozenset[str] = (
-            frozenset()
-        )  # listed servers that the module avoids, as of the last batch
+        # Listed servers that get no new calls, as of the last batch.
+        self.avoided: frozenset[str] = frozenset()
         self._closing = False
 
     @property
     def idle(self) -> bool:
-        return len(self._ledger) == 0
+        """Whether no call is open."""
+        return len(self._calls) == 0
 
     def __len__(self) -> int:
-        """Calls in the ledger: owed an answer, with an attempt out, or standing."""
-        return len(self._ledger)
+        """Open calls: unanswered, with an open attempt, or standing."""
+        return len(self._calls)
 
     @property
     def pending(self) -> int:
-        """Requests taken and not ended: owed their final answer, or standing until their release."""
-        return self._ledger.pending()
+        """Accepted calls that have not ended: unanswered, or standing until their release."""
+        return self._calls.pending()
 
     @property
     def members(self) -> int:
         """Servers in the list that are not gone."""
-        return len(self._listed)
+        return len(self._start_times)
 
     @property
     def unavailable(self) -> int:
+        """Listed servers that get no new calls."""
         return len(self.avoided)
 
     def under_way(self, server: str) -> int:
-        """Calls that are out at that server, or stand there."""
-        return self._ledger.under_way(server)
+        """Calls with an open attempt at the server, or standing there."""
+        return self._calls.under_way(server)
 
     @property
     def unanswered(self) -> int:
-        """Calls that still wait for their final answer."""
-        return len(self._ledger.unanswered())
+        """Calls that wait for their final answer."""
+        return len(self._calls.unanswered())
 
-    async def run(self, known: i.ServerList) -> None:
+    async def run(self, known: interface.ServerList) -> None:
         """Serves until cancelled."""
         self.start(known)
         while True:
-            words = await self._inbox.drain(self._timers.next_due() - self._clock())
-            self.process(words)
-            # With more there, the others have their turn of the loop, and the core goes on at once.
-            await anyio.sleep(0 if len(self._inbox) else GATHER)
+            messages = await self._inbox.drain(self._timers.next_due() - self._clock())
+            self.process(messages)
+            # With more messages waiting, other tasks get one turn of the loop and the core goes on at once.
+            await anyio.sleep(0 if len(self._inbox) else BATCH_DELAY_S)
 
-    def start(self, known: i.ServerList) -> None:
+    def start(self, known: interface.ServerList) -> None:
+        """Starts the controller with the server list known so far."""
         self._perform(self._controller.start())
         self.process([ControllerEvent(known)])
 
-    def process(self, words: Sequence[Message]) -> None:
-        """One batch."""
+    def process(self, messages: Sequence[Message]) -> None:
+        """Handles one batch: messages, due timers, and the controller's actions."""
         now = self._clock()
-        events: list[i.Event] = []
-        # Room first: it is counted from the ledger as the module knows it. Behind a call of the same batch
-        # it would give back the place that the module has taken for that call meanwhile.
-        for word in words:
-            if isinstance(word, ConcurrencyLimit):
-                events += self._hear(word, now)
-        for word in words:
-            if not isinstance(word, ConcurrencyLimit):
-                events += self._hear(word, now)
+        events: list[interface.Event] = []
+        # Concurrency limits first: they are computed from the call table as the controller knows it. After a
+        # new call of the same batch they would free the place that the controller has just taken for it.
+        for message in messages:
+            if isinstance(message, ConcurrencyLimit):
+                events += self._translate(message, now)
+        for message in messages:
+            if not isinstance(message, ConcurrencyLimit):
+                events += self._translate(message, now)
         if self._gate and (wait := self._gate.closed_for()) is not None:
-            events += self._turn_away(wait)
-        for item in self._timers.due(now):
-            if isinstance(item, Attempt):
-                events += self._timed_out(item, now)
-            elif isinstance(item, CallRecord):
-                events += self._overdue(item)
+            events += self._refuse_waiting(wait)
+        for timer in self._timers.due(now):
+            if isinstance(timer, Attempt):
+                events += self._on_time_out(timer, now)
+            elif isinstance(timer, CallRecord):
+                events += self._fail_overdue(timer)
             else:
-                events.append(i.Woken(item))
+                events.append(interface.Woken(timer))
         while events:
             self._counters.add("core.events", len(events))
             self._perform(self._controller.step(now, events))
-            events = list(self._late)
-            self._late.clear()
-        for entry in self._leaving:
-            self._ledger.close(entry)
-        self._leaving.clear()
-        # Published for the `ops` listener, which must not reach into the module that this task owns.
-        self.avoided = frozenset(self._controller.avoided() & self._listed.keys())
+            events = list(self._late_events)
+            self._late_events.clear()
+        for record in self._given_up:
+            self._calls.close(record)
+        self._given_up.clear()
+        # Published for the `ops` listener, which must not access the controller that this task owns.
+        self.avoided = frozenset(self._controller.avoided() & self._start_times.keys())
 
     def fail_unanswered(self) -> None:
-        """The end of a drain: fails what is unanswered, and from now on refuses what comes at once.
+        """Ends a drain: fails unanswered calls, and from now on refuses new ones at once.
 
-        What stands goes on: it ends by itself, or is released by `release_all`."""
+        Standing calls go on: they end by themselves or are released by `release_all`.
+        """
         self._closing = True
-        for entry in self._ledger.unanswered():
+        for record in self._calls.unanswered():
             self._counters.add("answers.failed")
-            entry.answered = True
-            entry.offer.caller.failed()
-            if entry.out:
-                self._servers.cancel(entry.out)
+            record.answered = True
+            record.offer.caller.failed()
+            if record.open_attempt:
+                self._servers.cancel(record.open_attempt)
 
     def release_all(self) -> None:
-        """The end of the program: releases what still stands."""
-        for entry in self._ledger.standing():
-            self._servers.release(str(entry.standing_at), entry.offer.call)
-            entry.offer.caller.over(cut=True)
+        """Releases all standing calls, at the end of the program."""
+        for record in self._calls.standing():
+            self._servers.release(str(record.standing_server), record.offer.call)
+            record.offer.caller.over(cut=True)
             self._counters.add("calls.cut_at_exit")
 
-    # Words into events
+    # Messages into events
 
-    def _hear(self, word: Message, now: float) -> list[i.Event]:
-        match word:
+    def _translate(self, message: Message, now: float) -> list[interface.Event]:
+        """Applies one message to the call table; returns the events for the controller."""
+        match message:
             case Offer():
-                return self._offered(word, now)
+                return self._on_offer(message, now)
             case Answered():
-                return self._answered(word, now)
+                return self._on_answer(message, now)
             case AttemptOver(attempt, outcome, cause):
-                return self._ended(attempt, outcome, now, cause)
+                return self._on_attempt_ended(attempt, outcome, now, cause)
             case CallOver(call, server, cut):
-                entry = self._ledger.get(call)
-                if entry is None or entry.standing_at != server:
+                record = self._calls.get(call)
+                if record is None or record.standing_server != server:
                     self._counters.add("core.late_words")
                     return []
-                return [self._fall(entry, now, i.Outcome.RESET if cut else i.Outcome.OK)]
+                return [
+                    self._end_standing_call(
+                        record, now, interface.Outcome.RESET if cut else interface.Outcome.OK
+                    )
+                ]
             case CallerGone(call, caller):
-                return self._gone(call, caller, now)
-            case ServerDied(server, at):
-                stood = [e for e in self._ledger.standing(server) if e.stood <= at]
-                return [self._fall(entry, now, i.Outcome.RESET) for entry in stood]
-            case ConcurrencyLimit(server, room):
-                # Told as a server tells its free agents: the module counts on from there.
-                free = room - self._ledger.under_way(server)
-                return [i.Probed(server, i.Outcome.OK, 0.0, {"free": free})]
-            case ReplaceSettings(settings, room):
+                return self._on_caller_gone(call, caller, now)
+            case ServerDied(server, died_at):
+                standing = [known for known in self._calls.standing(server) if known.stood_at <= died_at]
+                return [self._end_standing_call(record, now, interface.Outcome.RESET) for record in standing]
+            case ConcurrencyLimit(server, capacity):
+                # Passed on like a server's report of free lines: the controller counts down from it.
+                free = capacity - self._calls.under_way(server)
+                return [interface.Probed(server, interface.Outcome.OK, 0.0, {"free": free})]
+            case ReplaceSettings(settings, capacity):
                 self._settings = settings
-                self._ledger.capacity = room
+                self._calls.capacity = capacity
                 self._counters.add("core.retuned")
-                return [i.SettingsReplaced(settings)]
+                return [interface.SettingsReplaced(settings)]
             case ControllerEvent(event):
-                if isinstance(event, i.ServerList):
-                    return [event, *self._listing(event, now)]
+                if isinstance(event, interface.ServerList):
+                    return [event, *self._apply_list(event, now)]
                 return [event]
 
-    def _offered(self, offer: Offer, now: float) -> list[i.Event]:
-        if offer.caller.gone:  # it left before it was heard: nothing begins for it
+    def _on_offer(self, offer: Offer, now: float) -> list[interface.Event]:
+        if offer.caller.gone:  # the caller left before its call was handled
             self._counters.add("calls.given_up")
             return []
-        known = self._ledger.get(offer.call)
-        if known is not None and known.answered and known.standing_at is None:
-            # Given up or answered, with an attempt still out: it may be sent again once that has ended.
+        known = self._calls.get(offer.call)
+        if known is not None and known.answered and known.standing_server is None:
+            # Given up or answered, with an attempt still open: the caller may try again once that has ended.
             self._counters.add("answers.ending")
-            offer.caller.refused(self._advice(self._settings.release_guard))
+            offer.caller.refused(self._retry_advice(self._settings.release_guard))
             return []
-        if known is not None:  # whoever sent it, the call that is open keeps its id
+        if known is not None:  # the open call keeps its id
             self._counters.add("calls.clashes")
             offer.caller.duplicate_id()
             return []
-        if self._closing:  # drained: a successor, or this program after its restart, takes it now
+        if self._closing:  # drained: a successor or the restarted program takes new calls
             self._counters.add("answers.closing")
             offer.caller.refused(0.0)
             return []
-        if self._ledger.full:  # memory is bounded; the caller is told to stay away as long as it can be
+        if self._calls.full:  # bounded memory: the caller gets the longest advice
             self._counters.add("answers.no_room")
-            offer.caller.refused(self._advice(self._settings.max_advice))
+            offer.caller.refused(self._retry_advice(self._settings.max_advice))
             return []
         if self._gate and (wait := self._gate.closed_for()) is not None:
             self._counters.add("answers.not_current")
-            offer.caller.refused(self._advice(wait))
+            offer.caller.refused(self._retry_advice(wait))
             return []
         if self.screen:
             wait = self.screen.retry_after(offer.called, offer.class_name, now, offer.source)
             if wait is not None:
-                self._counters.add("answers.gapped")  # never booked: no server hears of it, nor the module
+                self._counters.add("answers.gapped")  # neither the controller nor a server sees it
                 advice = self._settings.max_advice
                 offer.caller.refused(min(wait, advice) if advice > 0 else wait)
                 return []
         self._counters.add("calls.taken")
-        entry = self._ledger.book(offer, self._settings.try_limit)
-        self._timers.set(offer.deadline + self._settings.answer_grace, entry)
+        record = self._calls.add(offer, self._settings.try_limit)
+        self._timers.set(offer.deadline + self._settings.answer_grace, record)
         return [
-            i.CallArrived(
+            interface.CallArrived(
                 call=offer.call,
                 destination=offer.destination,
                 deadline=offer.deadline,
@@ -257,182 +273,193 @@
             )
         ]
 
-    def _advice(self, wait: float) -> float:
-        """How long a caller is told to stay away; 0, which tells nothing, where settings allow no advice."""
+    def _retry_advice(self, wait: float) -> float:
+        """Seconds after which a caller is told to try again; 0 (no advice) where the settings allow none."""
         return min(wait, self._settings.max_advice) if self._settings.may_advise else 0.0
 
-    def _answered(self, word: Answered, now: float) -> list[i.Event]:
-        entry = self._ledger.get(word.call)
-        attempt = entry.out if entry else None
-        if entry and entry.standing_at == word.server:
-            self._counters.add("core.late_words")  # the same answer again
+    def _on_answer(self, message: Answered, now: float) -> list[interface.Event]:
+        record = self._calls.get(message.call)
+        attempt = record.open_attempt if record else None
+        if record and record.standing_server == message.server:
+            self._counters.add("core.late_words")  # a repeated answer
             return []
         if (
-            entry is None
+            record is None
             or attempt is None
-            or entry.answered
-            or attempt.revoked  # the cancel crossed this answer: what stands there is released
-            or (attempt.number, attempt.server) != (word.attempt, word.server)
+            or record.answered
+            or attempt.revoked  # the cancel crossed this answer: the call is released there
+            or (attempt.number, attempt.server) != (message.attempt, message.server)
             or now > attempt.deadline + self._settings.answer_grace
         ):
             self._counters.add("answers.too_late")
-            if word.lasting:
-                self._servers.release(word.server, word.call)
+            if message.lasting:
+                self._servers.release(message.server, message.call)
             return []
         attempt.ended = True
-        entry.out = None
-        entry.answered = True
-        entry.offer.caller.stands(word.description)
+        record.open_attempt = None
+        record.answered = True
+        record.offer.caller.stands(message.description)
         if self.screen is not None:
-            self.screen.ended(entry.offer.called, True)
+            self.screen.ended(record.offer.called, True)
         self._counters.add("answers.stands")
-        since = now - (attempt.sent or attempt.placed)
-        events: list[i.Event] = [i.CallStands(word.call, word.attempt, word.server, since)]
-        entry.standing_at, entry.stood, entry.standing_attempt = word.server, now, word.attempt
-        if not word.lasting:
-            events.append(self._fall(entry, now, i.Outcome.OK, told=False))
+        elapsed = now - (attempt.sent or attempt.placed)
+        events: list[interface.Event] = [
+            interface.CallStands(message.call, message.attempt, message.server, elapsed)
+        ]
+        record.standing_server, record.stood_at, record.standing_attempt = (
+            message.server,
+            now,
+            message.attempt,
+        )
+        if not message.lasting:
+            events.append(self._end_standing_call(record, now, interface.Outcome.OK, told=False))
         return events
 
-    def _ended(self, attempt: Attempt, outcome: i.Outcome, now: float, cause: int = 0) -> list[i.Event]:
-        entry = self._ledger.get(attempt.call)
-        if attempt.ended or entry is None or entry.out is not attempt:
+    def _on_attempt_ended(
+        self, attempt: Attempt, outcome: interface.Outcome, now: float, cause: int = 0
+    ) -> list[interface.Event]:
+        record = self._calls.get(attempt.call)
+        if attempt.ended or record is None or record.open_attempt is not attempt:
             self._counters.add("core.late_words")
             return []
         attempt.ended = True
-        entry.out = None
+        record.open_attempt = None
         self._counters.add(f"attempts.{outcome.value}")
-        if attempt.revoked and outcome not in SETTLED:
-            outcome = i.Outcome.CANCELLED
-        since = now - (attempt.sent or attempt.placed)
-        self._ledger.close(entry)
+        if attempt.revoked and outcome not in NO_EFFECT_OUTCOMES:
+            outcome = interface.Outcome.CANCELLED
+        elapsed = now - (attempt.sent or attempt.placed)
+        self._calls.close(record)
         return [
-            i.AttemptEnded(
-                attempt.call, attempt.number, attempt.server, outcome, since, entry.answered, cause
+            interface.AttemptEnded(
+                attempt.call, attempt.number, attempt.server, outcome, elapsed, record.answered, cause
             )
         ]
 
-    def _timed_out(self, attempt: Attempt, now: float) -> list[i.Event]:
-        """The caller's time is over; the attempt is given up towards the server as well."""
+    def _on_time_out(self, attempt: Attempt, now: float) -> list[interface.Event]:
+        """Ends an attempt at its deadline and cancels it at the server."""
         if attempt.ended:
             return []
         self._servers.cancel(attempt)
-        return self._ended(attempt, i.Outcome.TIMEOUT, now)
+        return self._on_attempt_ended(attempt, interface.Outcome.TIMEOUT, now)
 
-    def _overdue(self, entry: CallRecord) -> list[i.Event]:
-        """Guards the deadline itself: a call that the module let slip still gets its answer."""
-        if entry.answered:
+    def _fail_overdue(self, record: CallRecord) -> list[interface.Event]:
+        """Fails a call that the controller did not answer by its deadline."""
+        if record.answered:
             return []
         self._counters.add("answers.overdue")
-        entry.answered = True
-        entry.offer.caller.failed()
-        self._leaving.append(entry)
-        return [i.CallerLeft(entry.offer.call)]
-
-    def _turn_away(self, wait: float) -> list[i.Event]:
-        """Nothing may leave any more: calls that wait for a server are answered now, those out go on."""
-        waiting = [entry for entry in self._ledger.unanswered() if entry.out is None]
-        for entry in waiting:
+        record.answered = True
+        record.offer.caller.failed()
+        self._given_up.append(record)
+        return [interface.CallerLeft(record.offer.call)]
+
+    def _refuse_waiting(self, wait: float) -> list[interface.Event]:
+        """Refuses calls that wait for a server while the gate is closed; open attempts go on."""
+        waiting = [record for record in self._calls.unanswered() if record.open_attempt is None]
+        for record in waiting:
             self._counters.add("answers.not_current")
-            entry.answered = True
-            entry.offer.caller.refused(self._advice(wait))
-            self._leaving.append(entry)
-        return [i.CallerLeft(entry.offer.call) for entry in waiting]
-
-    def _gone(self, call: str, caller: Caller | None, now: float) -> list[i.Event]:
-        entry = self._ledger.get(call)
-        if entry is None:
+            record.answered = True
+            record.offer.caller.refused(self._retry_advice(wait))
+            self._given_up.append(record)
+        return [interface.CallerLeft(record.offer.call) for record in waiting]
+
+    def _on_caller_gone(self, call: str, caller: Caller | None, now: float) -> list[interface.Event]:
+        record = self._calls.get(call)
+        if record is None:
             self._counters.add("core.late_words")
             return []
-        if entry.standing_at is not None:
-            self._servers.release(entry.standing_at, call)
-            return [self._fall(entry, now, i.Outcome.CANCELLED, told=False)]
-        if entry.answered or entry.offer.caller is not caller:
+        if record.standing_server is not None:
+            self._servers.release(record.standing_server, call)
+            return [self._end_standing_call(record, now, interface.Outcome.CANCELLED, told=False)]
+        if record.answered or record.offer.caller is not caller:
             self._counters.add("core.late_words")
             return []
-        entry.answered = True
+        record.answered = True
         self._counters.add("calls.given_up")
-        self._leaving.append(entry)
-        return [i.CallerLeft(call)]
-
-    def _fall(self, entry: CallRecord, now: float, outcome: i.Outcome, *, told: bool = True) -> i.Event:
-        """A standing call ends; its caller is told unless the end came from there."""
-        server = str(entry.standing_at)
-        entry.standing_at = None
+        self._given_up.append(record)
+        return [interface.CallerLeft(call)]
+
+    def _end_standing_call(
+        self, record: CallRecord, now: float, outcome: interface.Outcome, *, told: bool = True
+    ) -> interface.Event:
+        """Ends a standing call; `told` is False if its caller already knows."""
+        server = str(record.standing_server)
+        record.standing_server = None
         if told:
-            entry.offer.caller.over(cut=outcome is not i.Outcome.OK)
+            record.offer.caller.over(cut=outcome is not interface.Outcome.OK)
         self._counters.add(f"calls.{outcome.value}")
-        self._ledger.close(entry)
-        return i.AttemptEnded(
-            entry.offer.call, entry.standing_attempt, server, outcome, now - entry.stood, True
+        self._calls.close(record)
+        return interface.AttemptEnded(
+            record.offer.call, record.standing_attempt, server, outcome, now - record.stood_at, True
         )
 
-    def _listing(self, event: i.ServerList, now: float) -> list[i.Event]:
-        """What a list says of standing calls: a server that is gone or has started anew has cut them."""
-        events: list[i.Event] = []
+    def _apply_list(self, event: interface.ServerList, now: float) -> list[interface.Event]:
+        """Records a server list; a server that is gone or has restarted has cut its standing calls."""
+        events: list[interface.Event] = []
         for row in event.entries:
-            anew = row.started > self._listed.get(row.server, row.started)
-            self._listed[row.server] = row.started
+            restarted = row.started > self._start_times.get(row.server, row.started)
+            self._start_times[row.server] = row.started
             if row.state == "ready":
-                self._ready.add(row.server)
+                self._ready_servers.add(row.server)
             else:
-                self._ready.discard(row.server)
-            if row.state == "gone":  # servers come and go for as long as we run: none is kept
-                del self._listed[row.server]
-            if row.state == "gone" or anew:
-                at = row.started if anew and row.state != "gone" else now
-                events += self._hear(ServerDied(row.server, at), now)
+                self._ready_servers.discard(row.server)
+            if row.state == "gone":  # servers are replaced all the time: none is kept
+                del self._start_times[row.server]
+            if row.state == "gone" or restarted:
+                died_at = row.started if restarted and row.state != "gone" else now
+                events += self._translate(ServerDied(row.server, died_at), now)
         return events
 
     # Actions
 
-    def _perform(self, actions: Iterable[i.Action]) -> None:
+    def _perform(self, actions: Iterable[interface.Action]) -> None:
         now = self._clock()
         for action in actions:
             match action:
-                case i.Send(call, server, timeout):
+                case interface.Send(call, server, timeout):
                     self._send(call, server, timeout, now)
-                case i.Cancel(call, number):
+                case interface.Cancel(call, number):
                     self._cancel(call, number, now)
-                case i.Refuse(call, come_back):
-                    if entry := self._final(call):
+                case interface.Refuse(call, come_back):
+                    if record := self._take_final_answer(call):
                         self._counters.add("answers.refused")
-                        entry.offer.caller.refused(come_back)
-                case i.Fail(call):
-                    if entry := self._final(call):
+                        record.offer.caller.refused(come_back)
+                case interface.Fail(call):
+                    if record := self._take_final_answer(call):
                         self._counters.add("answers.failed")
-                        entry.offer.caller.failed()
-                case i.WakeAfter(delay, token):
+                        record.offer.caller.failed()
+                case interface.WakeAfter(delay, token):
                     self._timers.set(now + delay, token)
-                case i.Log(text):
+                case interface.Log(text):
                     self._log.event("module", text=text)
                 case _:
                     self._counters.add("core.actions_without_port")
 
-    def _final(self, call: str) -> CallRecord | None:
-        entry = self._ledger.owed(call)
-        if entry is None:
+    def _take_final_answer(self, call: str) -> CallRecord | None:
+        """Marks an unanswered call as answered and returns it; None if it is not owed an answer."""
+        record = self._calls.get_unanswered(call)
+        if record is None:
             self._counters.add("core.late_words")
             return None
-        entry.answered = True
+        record.answered = True
         if self.screen is not None:
-            self.screen.ended(entry.offer.called, False)
-        self._ledger.close(entry)
-        return entry
+            self.screen.ended(record.offer.called, False)
+        self._calls.close(record)
+        return record
 
     def _send(self, call: str, server: str, timeout: float, now: float) -> None:
-        entry = self._ledger.get(call)
-        if entry is None or entry.out is not None or entry.standing_at is not None:
+        record = self._calls.get(call)
+        if record is None or record.open_attempt is not None or record.standing_server is not None:
             self._counters.add("core.bad_actions")
             self._log.event("bad_action", action="send", call=call)
             return
-        offer = entry.offer
+        offer = record.offer
         deadline = min(offer.deadline, now + timeout) if timeout > 0 else offer.deadline
-        attempt = Attempt(call, entry.tries, server, now, deadline, offer.request, self._may_send)
-        entry.tries += 1
-        if entry.answered or now >= deadline or entry.tries > entry.limit:
-            outcome: i.Outcome | None = i.Outcome.MOOT
+        attempt = Attempt(call, record.tries, server, now, deadline, offer.request, self._may_send)
+        record.tries += 1
+        if record.answered or now >= deadline or record.tries > record.attempt_limit:
+            outcome: interface.Outcome | None = interface.Outcome.MOOT
         else:
-            entry.out = attempt
+            record.open_attempt = attempt
             self._counters.add("attempts.placed")
             outcome = self._servers.place(attempt)
         if outcome is None:
@@ -440,26 +467,32 @@
             if self._gate:
                 self._gate.record_sent(attempt)
             return
-        entry.out = attempt
-        self._late.extend(self._ended(attempt, outcome, now))
+        record.open_attempt = attempt
+        self._late_events.extend(self._on_attempt_ended(attempt, outcome, now))
 
     def _cancel(self, call: str, number: int, now: float) -> None:
-        entry = self._ledger.get(call)
-        attempt = entry.out if entry else None
+        record = self._calls.get(call)
+        attempt = record.open_attempt if record else None
         if attempt is None or attempt.number != number or attempt.revoked:
-            return  # it has ended meanwhile, as a cancel may find
+            return  # the attempt has ended meanwhile
         attempt.revoked = True
         self._counters.add("attempts.revoked")
-        # If its word has not left yet, the end is told once it has: the wait after a cancel counts from then.
+        # If the cancel is not sent yet, the end follows once it is: the release guard counts from then.
         if self._servers.cancel(attempt):
-            self._late.extend(self._ended(attempt, i.Outcome.CANCELLED, now))
+            self._late_events.extend(self._on_attempt_ended(attempt, interface.Outcome.CANCELLED, now))
 
     def _may_send(self, attempt: Attempt, now: float) -> bool:
-        """The last look before a set-up's bytes leave: the rules hold at that moment, not at the decision."""
-        if attempt.ended or attempt.revoked or now >= attempt.deadline or attempt.server not in self._ready:
+        """The last check before a set-up is written: the rules must hold then, not only at the decision."""
+        if (
+            attempt.ended
+            or attempt.revoked
+            or now >= attempt.deadline
+            or attempt.server not in self._ready_servers
+        ):
             return False
-        entry = self._ledger.get(attempt.call)
-        if entry is None or entry.answered or entry.offer.caller.gone:  # its word may still be in the inbox
+        record = self._calls.get(attempt.call)
+        # The message that its caller has left may still be in the inbox.
+        if record is None or record.answered or record.offer.caller.gone:
             return False
         if self._gate is None:
             return True
--- a/harepick/core/inbox.py
+++ b/harepick/core/inbox.py
@@ -1,4 +1,4 @@
-"""The one queue into the core: bounded; who finds it full, waits."""
+"""The bounded queue of messages into the core; writers wait while it is full."""
 
 from __future__ import annotations
 
@@ -9,44 +9,49 @@
 
 from harepick.core.messages import Message
 
-ROOM = 8_192
-# Words of one batch. The core's turn holds the loop, and what callers and the bus say meanwhile lies unread:
-# at a tenth of a millisecond a word this is some 25 ms of a core.
+ROOM = 8_192  # messages that may wait
+# Messages of one batch. Handling a batch blocks the event loop, and nothing is read from callers and the bus
+# meanwhile: at 0.1 ms a message a full batch takes about 25 ms.
 BATCH = 256
 
 
 class Inbox:
-    def __init__(self, room: int = ROOM) -> None:
-        self._words: deque[Message] = deque()
-        self._room = room
-        self._some = anyio.Event()
-        self._taken = anyio.Event()
+    """A queue of at most `capacity` messages, in order; only `put_nowait` may exceed the limit."""
 
-    async def put(self, word: Message) -> None:
+    def __init__(self, capacity: int = ROOM) -> None:
+        self._messages: deque[Message] = deque()
+        self._capacity = capacity
+        self._filled = anyio.Event()
+        self._drained = anyio.Event()
+
+    async def put(self, message: Message) -> None:
+        """Adds a message; waits while the inbox is full."""
         await self.wait_for_space()
-        self.put_nowait(word)
+        self.put_nowait(message)
 
     async def wait_for_space(self) -> None:
-        """Waits while the inbox is full: whoever tells words at once waits here before it reads on."""
-        while len(self._words) >= self._room:
-            await self._taken.wait()
+        """Waits while the inbox is full: users of `put_nowait` wait here before they read on."""
+        while len(self._messages) >= self._capacity:
+            await self._drained.wait()
+
+    def put_nowait(self, message: Message) -> None:
+        """Adds a message at once, even above the limit: for messages that a cancelled wait must not lose.
 
-    def put_nowait(self, word: Message) -> None:
-        """At once, also over the bound: for words that a cancelled wait must not lose. There is at most one
-        such word of a kind for each call or connection that is open."""
-        self._words.append(word)
-        self._some.set()
+        There is at most one such message of a kind per open call or connection.
+        """
+        self._messages.append(message)
+        self._filled.set()
 
     def __len__(self) -> int:
-        return len(self._words)
+        return len(self._messages)
 
     async def drain(self, wait: float) -> list[Message]:
-        """What is there, `BATCH` words at most; waits for the first for `wait` seconds at most."""
-        if not self._words and wait > 0:
-            self._some = anyio.Event()
+        """Removes and returns up to `BATCH` messages; waits for the first one for at most `wait` seconds."""
+        if not self._messages and wait > 0:
+            self._filled = anyio.Event()
             with anyio.move_on_after(None if wait == inf else wait):
-                await self._some.wait()
-        words = [self._words.popleft() for _ in range(min(BATCH, len(self._words)))]
-        self._taken.set()
-        self._taken = anyio.Event()
-        return words
+                await self._filled.wait()
+        messages = [self._messages.popleft() for _ in range(min(BATCH, len(self._messages)))]
+        self._drained.set()
+        self._drained = anyio.Event()
+        return messages
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -1,7 +1,7 @@
-"""What reaches the core, and what the core asks of its ports.
+"""The messages into the core, and the protocols of its ports.
 
-Fronts and connections put words into the inbox; the engine turns them into the module's events. A word may
-come late or twice: the ledger takes that without harm.
+Listeners and connections put messages into the inbox; the engine turns them into events of the controller.
+A message may come late or twice: the call table tolerates both.
 """
 
 from __future__ import annotations
@@ -10,47 +10,50 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from harepick import interface as i
+from harepick import interface
 
 
 class Caller(Protocol):
-    """Where a call came from; takes its answers. None of these may block."""
+    """The origin of a call, which takes its answers. No method may block."""
 
-    gone: bool  # set by the front in the moment it reads that the caller has left or given the set-up up
+    gone: bool  # set as soon as it is read that the caller has left or given the set-up up
 
-    def stands(self, description: bytes) -> None: ...
+    def stands(self, description: bytes) -> None:
+        """The call stands; `description` is the server's answer, unchanged."""
 
-    def refused(self, stay_away: float) -> None: ...
+    def refused(self, stay_away: float) -> None:
+        """The call is refused; the caller may try again after `stay_away` seconds (0: no advice)."""
 
-    def failed(self) -> None: ...
+    def failed(self) -> None:
+        """The call has failed."""
 
     def over(self, *, cut: bool) -> None:
-        """A standing call has ended."""
+        """The standing call has ended; `cut`: not by a normal release."""
 
     def duplicate_id(self) -> None:
-        """Another call is open under this one's id: it goes no further, and no answer will come."""
+        """Another call is open under this id: this one is dropped, and no answer follows."""
 
 
 @dataclass(slots=True)
 class Offer:
-    """A call as it came in. `request` is the front's own and goes to the servers' port as it is."""
+    """A new call. `request` is passed to the servers' port unchanged."""
 
     call: str
     class_name: str
     destination: int
     number: int | None
-    deadline: float
+    deadline: float  # when the caller gives up
     caller: Caller
     request: object
     redial: bool = False
     again: bool = False
-    called: str = ""  # the number called, as the front's numbering plan writes it
-    source: str = ""  # the caller's address, where the front tells it
+    called: str = ""  # the number called, in the form of the numbering plan
+    source: str = ""  # the caller's address, if known
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send of a call to a server, from the decision until its end."""
+    """One attempt of a call at a server, from the decision to its end. Times are clock seconds."""
 
     call: str
     number: int
@@ -59,83 +62,90 @@
     deadline: float
     request: object
     guard: Callable[[Attempt, float], bool] = field(repr=False)
-    sent: float | None = None  # when its bytes left
-    checked_at: float = 0.0  # when a gate let it leave, right before the bytes did
+    sent: float | None = None  # when it was written to the connection
+    checked_at: float = 0.0  # when the gate last allowed it, right before it was written
     ended: bool = False
     revoked: bool = False
 
     def may_send(self, now: float) -> bool:
-        """Asked right before the bytes leave: the time to connect or a full buffer may have come between."""
+        """Checked right before writing: connecting or a full buffer may have taken time meanwhile."""
         return self.guard(self, now)
 
 
 class Servers(Protocol):
-    """The port towards the setup servers. None of these may block."""
+    """The port to the setup servers. No method may block."""
 
-    def place(self, attempt: Attempt) -> i.Outcome | None:
-        """Starts an attempt; an outcome if it is over at once."""
+    def place(self, attempt: Attempt) -> interface.Outcome | None:
+        """Starts an attempt; returns its outcome if it ends at once, else None."""
 
     def cancel(self, attempt: Attempt) -> bool:
-        """Gives an attempt up; True if that is done, else an `AttemptOver` comes once it is."""
+        """Cancels an attempt; True if that is done, else an `AttemptOver` follows."""
 
     def release(self, server: str, call: str) -> None:
-        """Ends a call that stands, or stood up too late."""
+        """Releases a call that stands, or was answered too late."""
 
 
 class Gate(Protocol):
-    """Whether this instance may act on what it knows; asked in the moment before it does."""
+    """Whether this instance may act on its state; checked right before it does."""
 
     def closed_for(self) -> float | None:
-        """None: open. Else nothing new may start, and callers are told to come back after so many seconds."""
+        """None if open; else no call may start, and callers are told to try again after these seconds."""
 
     def may_send(self, server: str) -> bool:
-        """Whether a set-up to this server may leave now."""
+        """Whether a set-up may be sent to this server now."""
 
     def record_sent(self, attempt: Attempt) -> None:
-        """It left; `attempt.checked_at` tells when the last look was."""
+        """The attempt was sent; `attempt.checked_at` is the time of the last check."""
 
 
 class Screen(Protocol):
-    """What an operator said of numbers, asked before a call is booked (number gapping)."""
+    """Number gapping and limits, checked before a call is accepted."""
 
     def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
-        """None: the call goes on. Else it is refused; its caller is to come back after so many seconds.
-        `source`: the caller's address, where the front tells it."""
+        """None if the call passes; else it is refused, and its caller may try again after these seconds.
+
+        `source` is the caller's address, if known.
+        """
 
     def ended(self, called: str, good: bool) -> None:
-        """The final answer of a call that went on: it stands, or was refused or failed."""
+        """Reports the final answer of a call that passed; `good`: it stands."""
 
 
-# Words from the fronts
+# Messages from the listeners
 
 
 @dataclass(slots=True)
 class CallerGone:
     """A caller gives its set-up up, or releases a standing call.
 
-    A set-up is given up by the `caller` that sent it alone; a call that stands belongs to no connection, so
-    that anyone who names it may release it."""
+    Only the `caller` that sent a set-up can give it up. A standing call belongs to no connection: any caller
+    may release it by its id.
+    """
 
     call: str
     caller: Caller | None = None
 
 
-# Words from the servers' port
+# Messages from the servers' port
 
 
 @dataclass(slots=True)
 class Answered:
+    """A server has answered a set-up: the call stands there."""
+
     call: str
-    attempt: int  # -1: of none that is open
+    attempt: int  # -1: no open attempt
     server: str
     description: bytes
-    lasting: bool = True  # False: an answer that is over as soon as it is given
+    lasting: bool = True  # False: the call is over with the answer (a lookup)
 
 
 @dataclass(slots=True)
 class AttemptOver:
+    """An attempt has ended without an answer."""
+
     attempt: Attempt
-    outcome: i.Outcome
+    outcome: interface.Outcome
     cause: int = 0
 
 
@@ -150,7 +160,7 @@
 
 @dataclass(slots=True)
 class ServerDied:
-    """Every call that stood at this server before `at` is cut."""
+    """Every call that stood at this server at `at` or before is cut."""
 
     server: str
     at: float
@@ -158,14 +168,14 @@
 
 @dataclass(slots=True)
 class ControllerEvent:
-    """News that go to the module as they are: server lists, free lines."""
+    """An event passed to the controller as it is: a server list or a report of free lines."""
 
-    event: i.ServerList | i.Probed
+    event: interface.ServerList | interface.Probed
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
-    """So many calls may be under way at a server from here; infinitely many: no bound."""
+    """The number of calls that this instance may have open at a server; infinity: no limit."""
 
     server: str
     limit: float
@@ -173,9 +183,9 @@
 
 @dataclass(slots=True)
 class ReplaceSettings:
-    """Settings read again at SIGHUP: for what arrives from now on."""
+    """New settings after SIGHUP, for calls that arrive from now on."""
 
-    settings: i.Settings
+    settings: interface.Settings
     capacity: int  # calls that may be open at once
 
 
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -1,7 +1,7 @@
-"""One call and two servers: the core under every order of a few events, and under long seeded ones.
+"""One call and two servers: the core under every order of a few events, and under long random orders.
 
-Checked in each: one final answer and in time, never two attempts out, no attempt after its caller left or for
-a server told off, the release wait kept, and every call that stood released.
+Checked in each: one final answer in time, never two open attempts, no attempt after the caller left or to a
+server that is draining or gone, the release guard kept, and every standing call released.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import pytest
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core import engine as core
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
@@ -34,71 +34,71 @@
     *("leaves", "answer", "copy", "full", "reset", "cancelled", "bye", "gone", "marked"),
     *("drain s0", "drain s1", "delete s0", "died s0", "wait", "deadline", "closing"),
 )
-CALL, PATIENCE = "c1", 4.0
+CALL_ID, PATIENCE_S = "c1", 4.0
 LOG = Log(fd=1)
 
 
-class BrokenError(AssertionError):
-    """A rule of the platform that an order of events broke."""
+class RuleError(AssertionError):
+    """An order of events broke a rule of the platform."""
 
 
-class Play:
-    """The core's ports, and what is true outside of it: who is out where, and what stands."""
+class CallWorld:
+    """The core's ports, and the state outside of it: open attempts and standing calls at the servers."""
 
     def __init__(self, cancelling: bool, seed: int = 7) -> None:
         self.now = 100.0
-        self.gone = False  # as a caller: it has left
+        self.gone = False  # the caller has left
         self.left_at = float("inf")
         self.finals: list[str] = []
         self.releases = 0
-        self.waiting: list[Attempt] = []  # placed, bytes not gone
-        self.out: dict[str, Attempt] = {}  # server -> what it has
-        self.cancels: list[Attempt] = []  # on their way to the server
+        self.waiting: list[Attempt] = []  # placed, not written yet
+        self.open_attempts: dict[str, Attempt] = {}  # server -> its open attempt
+        self.cancels: list[Attempt] = []  # sent, not yet received by the server
         self.stood: set[str] = set()  # servers at which the call stands
-        self.told_off: dict[str, str] = {}
+        self.unavailable_states: dict[str, str] = {}
         self.not_before = 0.0
-        self.words: list[Message] = []  # told with the next turn
+        self.messages: list[Message] = []  # for the next batch
         self.settings = settings(may_cancel=cancelling)
         self.engine = Engine(self.settings, seed, self, Inbox(), Counters(), LOG, clock=lambda: self.now)
-        rows = tuple(i.ServerEntry(f"s{n}", n, "ready") for n in range(2))
-        self.engine.start(i.ServerList(i.ListKind.REMEMBERED, rows))
-        self.engine.process([Offer(CALL, "a", 0, 77, self.now + PATIENCE, self, None)])
-        self.deadline = self.now + PATIENCE
+        rows = tuple(interface.ServerEntry(f"s{n}", n, "ready") for n in range(2))
+        self.engine.start(interface.ServerList(interface.ListKind.REMEMBERED, rows))
+        self.engine.process([Offer(CALL_ID, "a", 0, 77, self.now + PATIENCE_S, self, None)])
+        self.deadline = self.now + PATIENCE_S
 
     # The caller
 
     def stands(self, description: bytes) -> None:
-        self.final("stands")
+        self.record_answer("stands")
 
     def refused(self, stay_away: float) -> None:
-        self.final("refused")
+        self.record_answer("refused")
 
     def failed(self) -> None:
-        self.final("failed")
+        self.record_answer("failed")
 
-    def final(self, kind: str) -> None:
+    def record_answer(self, kind: str) -> None:
         self.finals.append(kind)
         if len(self.finals) > 1:
-            raise BrokenError(f"two final answers: {self.finals}")
+            raise RuleError(f"two final answers: {self.finals}")
         if self.now > self.deadline + self.settings.answer_grace + 0.05:
-            raise BrokenError("a final answer that comes late")
+            raise RuleError("a late final answer")
 
     def over(self, *, cut: bool) -> None:
         self.releases += 1
         if self.finals != ["stands"] or self.releases > 1:
-            raise BrokenError("a release of what does not stand")
+            raise RuleError("a release of a call that does not stand")
 
     def duplicate_id(self) -> None:
-        raise BrokenError("a clash")
+        raise RuleError("a duplicate id")
 
     # The servers' port
 
-    def place(self, attempt: Attempt) -> i.Outcome | None:
+    def place(self, attempt: Attempt) -> interface.Outcome | None:
         self.waiting.append(attempt)
         return None
 
     def cancel(self, attempt: Attempt) -> bool:
-        if attempt.sent is None or self.out.get(attempt.server) is not attempt:
+        if attempt.sent is None or self.open_attempts.get(attempt.server) is not attempt:
             return True
         self.cancels.append(attempt)
         return False
@@ -108,106 +108,106 @@
 
     # Events
 
-    def happen(self, event: str) -> None:
-        what, _, server = event.partition(" ")
-        getattr(self, f"on_{what}")(*([server] if server else []))
-        self.turn()
+    def run_event(self, event: str) -> None:
+        name, _, server = event.partition(" ")
+        getattr(self, f"on_{name}")(*([server] if server else []))
+        self.process_batch()
 
-    def turn(self) -> None:
-        words, self.words = self.words, []
-        self.engine.process(words)
+    def process_batch(self) -> None:
+        messages, self.messages = self.messages, []
+        self.engine.process(messages)
         self.now += 0.005
 
     def on_leaves(self) -> None:
         for attempt in self.waiting:
             if not attempt.may_send(self.now):
                 if not attempt.ended:
-                    self.words.append(AttemptOver(attempt, i.Outcome.MOOT))
+                    self.messages.append(AttemptOver(attempt, interface.Outcome.MOOT))
                 continue
             if self.gone:
-                raise BrokenError("an attempt begun after its caller left")
-            if attempt.server in self.told_off:
-                raise BrokenError(f"an attempt at a server that is {self.told_off[attempt.server]}")
-            if self.out:
-                raise BrokenError("two attempts out at once")
+                raise RuleError("an attempt sent after its caller left")
+            if attempt.server in self.unavailable_states:
+                raise RuleError(f"an attempt at a server that is {self.unavailable_states[attempt.server]}")
+            if self.open_attempts:
+                raise RuleError("two open attempts at once")
             if self.now < self.not_before:
-                raise BrokenError("an attempt before the release wait was over")
+                raise RuleError("an attempt before the release guard was over")
             attempt.sent = self.now
-            self.out[attempt.server] = attempt
+            self.open_attempts[attempt.server] = attempt
         self.waiting.clear()
 
-    def ends(self, outcome: i.Outcome, cause: int = 0) -> None:
-        for attempt in self.out.values():
-            self.words.append(AttemptOver(attempt, outcome, cause))
-            if outcome is i.Outcome.RESET:
+    def end_attempts(self, outcome: interface.Outcome, cause: int = 0) -> None:
+        for attempt in self.open_attempts.values():
+            self.messages.append(AttemptOver(attempt, outcome, cause))
+            if outcome is interface.Outcome.RESET:
                 self.not_before = self.now + self.settings.release_guard
             if attempt in self.cancels:
                 self.cancels.remove(attempt)
-        self.out.clear()
+        self.open_attempts.clear()
 
     def on_answer(self) -> None:
-        for server, attempt in self.out.items():
+        for server, attempt in self.open_attempts.items():
             self.stood.add(server)
-            self.words.append(Answered(CALL, attempt.number, server, b"answer"))
-        self.out.clear()
+            self.messages.append(Answered(CALL_ID, attempt.number, server, b"answer"))
+        self.open_attempts.clear()
 
     def on_copy(self) -> None:
         for server in self.stood:
-            self.words.append(Answered(CALL, -1, server, b"answer"))
+            self.messages.append(Answered(CALL_ID, -1, server, b"answer"))
 
     def on_full(self) -> None:
-        self.ends(i.Outcome.FULL, 3)
+        self.end_attempts(interface.Outcome.FULL, 3)
 
     def on_reset(self) -> None:
-        self.ends(i.Outcome.RESET)
+        self.end_attempts(interface.Outcome.RESET)
 
     def on_cancelled(self) -> None:
-        """The server has heard the cancel; it may have answered before that."""
+        """The server has received the cancel; it may have answered before."""
         for attempt in self.cancels:
-            self.words.append(AttemptOver(attempt, i.Outcome.CANCELLED))
-            if self.out.get(attempt.server) is attempt:
-                del self.out[attempt.server]
+            self.messages.append(AttemptOver(attempt, interface.Outcome.CANCELLED))
+            if self.open_attempts.get(attempt.server) is attempt:
+                del self.open_attempts[attempt.server]
                 self.not_before = self.now + self.settings.release_guard
         self.cancels.clear()
 
     def on_bye(self) -> None:
         for server in self.stood:
-            self.words.append(CallOver(CALL, server, False))
+            self.messages.append(CallOver(CALL_ID, server, False))
         self.stood.clear()
 
     def on_gone(self) -> None:
         if not self.gone:
-            self.words.append(CallerGone(CALL, self))
+            self.messages.append(CallerGone(CALL_ID, self))
         self.gone = True
 
     def on_marked(self) -> None:
-        """The front has read the end; its word still waits in the inbox."""
+        """The caller's end was read; its message still waits in the inbox."""
         if not self.gone:
             self.gone = True
-            self.unheard = CallerGone(CALL, self)
-            self.later = True
+            self.unheard = CallerGone(CALL_ID, self)
+            self.end_unheard = True
 
     def list_as(self, server: str, state: str) -> None:
-        self.told_off[server] = state
-        entry = i.ServerEntry(server, int(server[1]), state)
-        self.words.append(ControllerEvent(i.ServerList(i.ListKind.CHANGES, (entry,))))
+        self.unavailable_states[server] = state
+        entry = interface.ServerEntry(server, int(server[1]), state)
+        self.messages.append(ControllerEvent(interface.ServerList(interface.ListKind.CHANGES, (entry,))))
 
     def on_drain(self, server: str) -> None:
-        if server not in self.told_off:
+        if server not in self.unavailable_states:
             self.list_as(server, "draining")
 
     def on_delete(self, server: str) -> None:
         self.list_as(server, "gone")
-        self.dies(server)
+        self.stop_server(server)
 
     def on_died(self, server: str) -> None:
-        self.dies(server)
-        self.words.append(ServerDied(server, self.now))
+        self.stop_server(server)
+        self.messages.append(ServerDied(server, self.now))
 
-    def dies(self, server: str) -> None:
+    def stop_server(self, server: str) -> None:
         self.stood.discard(server)
-        if attempt := self.out.pop(server, None):
-            self.words.append(AttemptOver(attempt, i.Outcome.RESET))
+        if attempt := self.open_attempts.pop(server, None):
+            self.messages.append(AttemptOver(attempt, interface.Outcome.RESET))
             self.not_before = self.now + self.settings.release_guard
             if attempt in self.cancels:
                 self.cancels.remove(attempt)
@@ -219,77 +219,79 @@
         self.now = max(self.now, self.deadline + 0.001)
 
     def on_closing(self) -> None:
-        """The end of a drain: what is unanswered fails."""
+        """The end of a drain: unanswered calls fail."""
         self.engine.fail_unanswered()
 
     # The end
 
-    later = False
+    end_unheard = False
     unheard: CallerGone
 
     def finish(self) -> None:
-        """What is on its way arrives, the deadline passes, and the program ends."""
-        if self.later:
-            self.words.append(self.unheard)
-        self.turn()
+        """All pending messages arrive, the deadline passes, and the program ends."""
+        if self.end_unheard:
+            self.messages.append(self.unheard)
+        self.process_batch()
         self.on_deadline()
         for event in ("leaves", "cancelled", "leaves", "cancelled"):
-            self.happen(event)
+            self.run_event(event)
         if not self.finals and not self.gone:
-            raise BrokenError("no final answer")
+            raise RuleError("no final answer")
         self.engine.release_all()
         if self.stood:
-            raise BrokenError(f"left standing at {self.stood}")
+            raise RuleError(f"call left standing at {self.stood}")
         if self.finals == ["stands"] and not self.gone and self.releases != 1:
-            raise BrokenError("what stood was never released towards its caller")
-        if self.out:
-            raise BrokenError(f"still out at {list(self.out)}")
+            raise RuleError("a standing call was never released to its caller")
+        if self.open_attempts:
+            raise RuleError(f"attempts still open at {list(self.open_attempts)}")
 
 
-def play(order: tuple[str, ...], cancelling: bool = True, seed: int = 7) -> None:
-    world = Play(cancelling, seed)
+def run_order(order: tuple[str, ...], cancelling: bool = True, seed: int = 7) -> None:
+    world = CallWorld(cancelling, seed)
     try:
         for event in order:
-            world.happen(event)
+            world.run_event(event)
         world.finish()
-    except BrokenError as error:
-        raise BrokenError(f"{error}, after {order}") from None
+    except RuleError as error:
+        raise RuleError(f"{error}, after {order}") from None
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
-def test_every_order_of_four_events_after_the_first_set_up_has_left(cancelling: bool) -> None:
+def test_every_order_of_four_events_after_the_first_set_up_was_sent(cancelling: bool) -> None:
     for order in itertools.product(EVENTS, repeat=3):
-        play(("leaves", *order), cancelling)
+        run_order(("leaves", *order), cancelling)
 
 
 @pytest.mark.parametrize("first", ["gone", "marked", "drain s0", "delete s0", "died s0", "deadline"])
-def test_every_order_that_begins_before_the_first_set_up_has_left(first: str) -> None:
+def test_every_order_that_begins_before_the_first_set_up_was_sent(first: str) -> None:
     for order in itertools.product(EVENTS, repeat=2):
-        play((first, *order))
-        play((first, *order), cancelling=False)
+        run_order((first, *order))
+        run_order((first, *order), cancelling=False)
 
 
-def test_long_orders_from_seeds() -> None:
+def test_long_random_orders() -> None:
     for seed in range(3000):
         rng = random.Random(seed)
         order = tuple(rng.choices((*EVENTS, *(["leaves"] * 6)), k=14))
-        play(order, cancelling=rng.random() < 0.7, seed=seed)
+        run_order(order, cancelling=rng.random() < 0.7, seed=seed)
 
 
 @pytest.mark.parametrize("rule", ["gone", "told off", "one final answer", "late answer"])
 def test_a_core_that_breaks_a_rule_is_found(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    def may_leave(self: Engine, attempt: Attempt, now: float) -> bool:
+    def may_send(self: Engine, attempt: Attempt, now: float) -> bool:
         if attempt.ended or attempt.revoked or now >= attempt.deadline:
             return False
-        return rule == "told off" or attempt.server in self._ready
+        return rule == "told off" or attempt.server in self._ready_servers
 
     if rule in ("gone", "told off"):
-        monkeypatch.setattr(core.Engine, "_may_send", may_leave)
+        monkeypatch.setattr(core.Engine, "_may_send", may_send)
     elif rule == "late answer":
-        monkeypatch.setattr(Play, "release", lambda self, server, call: None)
+        monkeypatch.setattr(CallWorld, "release", lambda self, server, call: None)
     else:
-        monkeypatch.setattr(core.Engine, "_overdue", lambda self, entry: entry.offer.caller.failed() or [])
-    with pytest.raises(BrokenError):
+        monkeypatch.setattr(
+            core.Engine, "_fail_overdue", lambda self, record: record.offer.caller.failed() or []
+        )
+    with pytest.raises(RuleError):
         for order in itertools.product(EVENTS, repeat=2):
-            play(order)
-            play(("leaves", *order))
+            run_order(order)
+            run_order(("leaves", *order))
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -1,8 +1,8 @@
-"""What the core and the list keep of servers and calls that are over: nothing that grows."""
+"""The core and the directory keep no growing state of servers and calls that are over."""
 
 from __future__ import annotations
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
 from harepick.core.messages import Attempt, AttemptOver, CallerGone, ConcurrencyLimit, ControllerEvent, Offer
@@ -13,13 +13,13 @@
 from tests.world import settings
 
 
-class Port:
-    """Setup servers that take everything and say nothing."""
+class SilentServers:
+    """Setup servers that accept every attempt and never answer."""
 
     def __init__(self) -> None:
         self.placed: list[Attempt] = []
 
-    def place(self, attempt: Attempt) -> i.Outcome | None:
+    def place(self, attempt: Attempt) -> interface.Outcome | None:
         self.placed.append(attempt)
         return None
 
@@ -30,8 +30,8 @@
         pass
 
 
-class Silent:
-    """A caller that takes its answers."""
+class IgnoringCaller:
+    """A caller that ignores its answers."""
 
     gone = False
 
@@ -46,57 +46,59 @@
     def duplicate_id(self) -> None: ...
 
 
-def ready(name: str, state: str = "ready") -> ControllerEvent:
-    return ControllerEvent(i.ServerList(i.ListKind.CHANGES, (i.ServerEntry(name, 0, state),)))
+def listed(name: str, state: str = "ready") -> ControllerEvent:
+    return ControllerEvent(
+        interface.ServerList(interface.ListKind.CHANGES, (interface.ServerEntry(name, 0, state),))
+    )
 
 
-def engine() -> tuple[Engine, Port]:
-    port = Port()
-    return Engine(settings(), 7, port, Inbox(), Counters(), Log(fd=1), clock=lambda: 100.0), port
+def engine() -> tuple[Engine, SilentServers]:
+    servers = SilentServers()
+    return Engine(settings(), 7, servers, Inbox(), Counters(), Log(fd=1), clock=lambda: 100.0), servers
 
 
 def test_the_core_keeps_nothing_of_servers_that_are_gone() -> None:
-    core, port = engine()
-    for n in range(50):
-        core.process([ready(f"s{n}")])
-        core.process([ready(f"s{n}", "gone")])
-    assert not core._listed and not core._ready
-    core.process([ready("s50"), Offer("c1", "low", 0, None, 103.0, Silent(), b"")])
-    attempt = port.placed[0]
+    core, servers = engine()
+    for number in range(50):
+        core.process([listed(f"s{number}")])
+        core.process([listed(f"s{number}", "gone")])
+    assert not core._start_times and not core._ready_servers
+    core.process([listed("s50"), Offer("c1", "low", 0, None, 103.0, IgnoringCaller(), b"")])
+    attempt = servers.placed[0]
     assert attempt.may_send(100.0)
-    core.process([ready("s50", "gone")])
-    assert not attempt.may_send(100.0)  # the last look holds for one that is forgotten, too
+    core.process([listed("s50", "gone")])
+    assert not attempt.may_send(100.0)  # the last check covers forgotten servers, too
 
 
 def test_a_call_given_up_in_the_batch_of_its_next_attempt_leaves_nothing_open() -> None:
-    """The module had decided on a send that the ledger no longer knew: it stayed open in its books."""
-    core, port = engine()
-    caller = Silent()
-    core.process([ready("s0"), ready("s1"), Offer("c1", "low", 0, None, 103.0, caller, b"")])
-    first = port.placed[0]
-    core.process([AttemptOver(first, i.Outcome.FULL, 3), CallerGone("c1", caller)])
+    """The controller decided on an attempt of a call no longer in the table, which then stayed open."""
+    core, servers = engine()
+    caller = IgnoringCaller()
+    core.process([listed("s0"), listed("s1"), Offer("c1", "low", 0, None, 103.0, caller, b"")])
+    first = servers.placed[0]
+    core.process([AttemptOver(first, interface.Outcome.FULL, 3), CallerGone("c1", caller)])
     assert core.idle
     assert not any(server.open_attempts for server in core._controller.servers.values())
 
 
-def test_room_told_in_the_batch_of_a_call_gives_that_call_s_place_to_no_other() -> None:
-    """Told after the call it named a place as free that the module had just taken: one too many was out."""
-    core, port = engine()
-    calls = iter([Offer(f"c{n}", "low", 0, None, 103.0, Silent(), b"") for n in range(4)])
-    core.process([ready("s0"), ConcurrencyLimit("s0", 1.0)])
+def test_a_concurrency_limit_in_the_batch_of_a_call_does_not_free_its_place() -> None:
+    """Applied after the call, the limit freed a place that was just taken: one call too many."""
+    core, servers = engine()
+    calls = iter([Offer(f"c{number}", "low", 0, None, 103.0, IgnoringCaller(), b"") for number in range(4)])
+    core.process([listed("s0"), ConcurrencyLimit("s0", 1.0)])
     core.process([next(calls), ConcurrencyLimit("s0", 1.0)])
     assert core.under_way("s0") == 1
     core.process([next(calls)])
-    assert core.under_way("s0") == 1 and len(port.placed) == 1
-    # The place that an end gives back in that batch is given back once.
-    core.process([AttemptOver(port.placed[0], i.Outcome.FULL, 3), ConcurrencyLimit("s0", 1.0)])
+    assert core.under_way("s0") == 1 and len(servers.placed) == 1
+    # A place freed by the end of a call in that batch is freed once.
+    core.process([AttemptOver(servers.placed[0], interface.Outcome.FULL, 3), ConcurrencyLimit("s0", 1.0)])
     core.process([next(calls), next(calls)])
     assert core.under_way("s0") <= 1
 
 
-def test_the_list_keeps_few_of_the_servers_that_are_gone() -> None:
+def test_the_directory_keeps_few_of_the_servers_that_are_gone() -> None:
     directory = Directory()
-    for n in range(1, 400, 2):
-        directory.apply(peers.event(n, peers.row(f"s{n}", "127.0.0.1:5", 0)))
-        directory.apply(peers.event(n + 1, peers.row(f"s{n}", "127.0.0.1:5", 0, "DELETED")))
+    for number in range(1, 400, 2):
+        directory.apply(peers.event(number, peers.row(f"s{number}", "127.0.0.1:5", 0)))
+        directory.apply(peers.event(number + 1, peers.row(f"s{number}", "127.0.0.1:5", 0, "DELETED")))
     assert len(directory.entries()) <= MAX_GONE
