--- a/harepick/simhost.py
+++ b/harepick/simhost.py
@@ -1,6 +1,7 @@
-"""Runs many isolated controllers on the line wire (one JSON array a line) over standard input and output.
+"""Runs isolated controllers for the simulator, over standard input and output.
 
-This file translates and nothing more: every decision is made in `harepick.decide`.
+The protocol is one JSON array per line; a batch of messages stands between `Frame` and `Go`. This module only
+translates between messages and events or actions; `harepick.decide` makes every decision.
 """
 
 from __future__ import annotations
@@ -11,22 +12,23 @@
 from collections.abc import Callable, Mapping
 from typing import Any, TextIO
 
-from harepick import interface as i
+from harepick import interface
 from harepick.decide import Controller
 from harepick.settings import read_settings
 
-OUTCOMES = {
-    0: i.Outcome.OK,
-    13: i.Outcome.ERROR,
-    8: i.Outcome.FULL,
-    4: i.Outcome.TIMEOUT,
-    14: i.Outcome.UNREACHED,
-    10: i.Outcome.RESET,
-    1: i.Outcome.CANCELLED,
-    9: i.Outcome.MOOT,
+# Outcome codes of the protocol.
+OUTCOMES_BY_CODE = {
+    0: interface.Outcome.OK,
+    13: interface.Outcome.ERROR,
+    8: interface.Outcome.FULL,
+    4: interface.Outcome.TIMEOUT,
+    14: interface.Outcome.UNREACHED,
+    10: interface.Outcome.RESET,
+    1: interface.Outcome.CANCELLED,
+    9: interface.Outcome.MOOT,
 }
-# Values that follow each message's name.
-COUNTS = {
+# Number of values that follow the name of each message.
+VALUE_COUNTS = {
     "Frame": 2,
     "Go": 0,
     "OpenInstance": 3,
@@ -44,170 +46,188 @@
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the protocol."""
 
 
 class Host:
-    """The instances of one process; each has its own controller and knows nothing of the others."""
+    """The instances of one process; each has its own controller and is isolated from the others."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
-        self._fields: dict[int, tuple[str, ...]] = {}
-        self._lists: dict[int, tuple[i.ServerEntry, ...]] = {}
-        self._failed: dict[int, str] = {}
-        self._events: dict[str, Callable[[list[Any]], i.Event]] = {
-            "Targets": self._targets,
-            "Ingress": self._ingress,
-            "Flowing": lambda m: i.CallStands(m[2], m[3], m[5], m[4]),
-            "Settled": self._settled,
-            "CancelledByClient": lambda m: i.CallerLeft(m[2]),
-            "Alarm": lambda m: i.Woken(m[2]),
-            "Health": lambda m: i.Probed(m[2], _outcome(m[3]), m[4] or 0.0, self._report(m[1], m[5])),
-            "Memo": self._memo,
+        self._report_fields: dict[int, tuple[str, ...]] = {}
+        self._lists: dict[int, tuple[interface.ServerEntry, ...]] = {}
+        self._failures: dict[int, str] = {}
+        self._events: dict[str, Callable[[list[Any]], interface.Event]] = {
+            "Targets": self._server_list,
+            "Ingress": self._call_arrived,
+            "Flowing": lambda message: interface.CallStands(message[2], message[3], message[5], message[4]),
+            "Settled": self._attempt_ended,
+            "CancelledByClient": lambda message: interface.CallerLeft(message[2]),
+            "Alarm": lambda message: interface.Woken(message[2]),
+            "Health": lambda message: interface.Probed(
+                message[2],
+                _parse_outcome(message[3]),
+                message[4] or 0.0,
+                self._report(message[1], message[5]),
+            ),
+            "Memo": self._peer_note,
         }
 
     def batch(self, now: float, messages: list[list[Any]]) -> list[list[Any]]:
-        """The replies to one batch, in order."""
+        """Handles one batch at clock time `now` and returns the replies in order.
+
+        An error in one controller stops that instance alone and is reported as an `Exception` reply.
+        """
         replies: list[list[Any]] = []
-        runs: list[tuple[int, list[i.Event]]] = []
+        pending_events: list[tuple[int, list[interface.Event]]] = []
         for message in messages:
             name = message[0]
             if name == "Census":
-                self._lists[message[1]] = tuple(_entry(row) for row in message[2])
+                self._lists[message[1]] = tuple(_parse_entry(row) for row in message[2])
                 continue
-            front = message[1]
+            instance = message[1]
             if name in ("OpenInstance", "Halt"):
-                self._run(now, runs, replies)
-                self._controllers.pop(front, None)
-                self._failed.pop(front, None)
+                self._step_controllers(now, pending_events, replies)
+                self._controllers.pop(instance, None)
+                self._failures.pop(instance, None)
                 if name == "OpenInstance":
-                    self._open(now, message, replies)
-            elif front in self._controllers:
+                    self._open_instance(now, message, replies)
+            elif instance in self._controllers:
                 event = self._events[name](message)
-                if runs and runs[-1][0] == front:
-                    runs[-1][1].append(event)
+                if pending_events and pending_events[-1][0] == instance:
+                    pending_events[-1][1].append(event)
                 else:
-                    runs.append((front, [event]))
-            # Anything else is for an instance that has stopped or failed: passed over.
-        self._run(now, runs, replies)
+                    pending_events.append((instance, [event]))
+            # Messages for an instance that has stopped or failed are ignored.
+        self._step_controllers(now, pending_events, replies)
         return replies
 
-    def _open(self, now: float, message: list[Any], replies: list[list[Any]]) -> None:
-        front, seed, options = message[1:]
+    def _open_instance(self, now: float, message: list[Any], replies: list[list[Any]]) -> None:
+        instance, seed, options = message[1:]
         try:
             settings = read_settings(options)
             controller = Controller(settings, seed, now)
         except Exception as error:
-            print(f"harepick: instance {front}: {error}", file=sys.stderr)
-            self._failed[front] = str(error)
-            replies.append(["Exception", front, str(error)])
+            print(f"harepick: instance {instance}: {error}", file=sys.stderr)
+            self._failures[instance] = str(error)
+            replies.append(["Exception", instance, str(error)])
             return
-        self._controllers[front] = controller
-        self._fields[front] = settings.report_fields
-        replies += [_wire(front, action) for action in controller.start()]
-
-    def _run(self, now: float, runs: list[tuple[int, list[i.Event]]], replies: list[list[Any]]) -> None:
-        for front, events in runs:
-            if front not in self._controllers:
+        self._controllers[instance] = controller
+        self._report_fields[instance] = settings.report_fields
+        replies += [_reply(instance, action) for action in controller.start()]
+
+    def _step_controllers(
+        self, now: float, pending_events: list[tuple[int, list[interface.Event]]], replies: list[list[Any]]
+    ) -> None:
+        for instance, events in pending_events:
+            if instance not in self._controllers:
                 continue
             try:
-                actions = self._controllers[front].step(now, events)
+                actions = self._controllers[instance].step(now, events)
             except Exception as error:
                 text = f"{type(error).__name__}: {error}"
-                print(f"harepick: instance {front}: {text}", file=sys.stderr)
-                del self._controllers[front]
-                self._failed[front] = text
-                replies.append(["Exception", front, text])
+                print(f"harepick: instance {instance}: {text}", file=sys.stderr)
+                del self._controllers[instance]
+                self._failures[instance] = text
+                replies.append(["Exception", instance, text])
                 continue
-            replies += [_wire(front, action) for action in actions]
-        runs.clear()
-
-    def _targets(self, m: list[Any]) -> i.Event:
-        kind = i.ListKind(m[3])
-        if kind is i.ListKind.REFUSED:
-            return i.ServerList(kind)
-        if m[2] not in self._lists:
-            raise WireError(f"Targets: list {m[2]} was never sent")
-        return i.ServerList(kind, self._lists[m[2]])
-
-    def _ingress(self, m: list[Any]) -> i.Event:
-        flags = m[9] or 0
-        tenant = m[8] if isinstance(m[8], str) else ""
-        return i.CallArrived(
-            call=m[2],
-            destination=-1 if m[3] is None else m[3],
-            deadline=m[6],
-            class_name=m[10] or "",
+            replies += [_reply(instance, action) for action in actions]
+        pending_events.clear()
+
+    def _server_list(self, message: list[Any]) -> interface.Event:
+        kind = interface.ListKind(message[3])
+        if kind is interface.ListKind.REFUSED:
+            return interface.ServerList(kind)
+        if message[2] not in self._lists:
+            raise WireError(f"Targets: list {message[2]} was never sent")
+        return interface.ServerList(kind, self._lists[message[2]])
+
+    def _call_arrived(self, message: list[Any]) -> interface.Event:
+        flags = message[9] or 0
+        tenant = message[8] if isinstance(message[8], str) else ""
+        return interface.CallArrived(
+            call=message[2],
+            destination=-1 if message[3] is None else message[3],
+            deadline=message[6],
+            class_name=message[10] or "",
             tenant=tenant,
             redial=bool(flags & 2),
             in_transit=bool(flags & 8),
-            number=m[5],
+            number=message[5],
         )
 
-    def _settled(self, m: list[Any]) -> i.Event:
-        cause = m[8] or 0
-        return i.AttemptEnded(
-            call=m[2],
-            attempt=m[3],
-            server=m[4],
-            outcome=_outcome(m[5]),
-            elapsed=m[6] or 0.0,
-            final=bool(m[7]),
+    def _attempt_ended(self, message: list[Any]) -> interface.Event:
+        cause = message[8] or 0
+        return interface.AttemptEnded(
+            call=message[2],
+            attempt=message[3],
+            server=message[4],
+            outcome=_parse_outcome(message[5]),
+            elapsed=message[6] or 0.0,
+            final=bool(message[7]),
             cause=cause & 15,
             told_wait=(cause >> 4) / 1000.0 if cause & 15 == 3 else 0.0,
-            report=self._report(m[1], m[9]),
+            report=self._report(message[1], message[9]),
         )
 
-    def _memo(self, m: list[Any]) -> i.Event:
-        return i.PeerNote(m[2], base64.b64decode(m[3] or ""))
+    def _peer_note(self, message: list[Any]) -> interface.Event:
+        return interface.PeerNote(message[2], base64.b64decode(message[3] or ""))
 
-    def _report(self, front: int, usage: Any) -> Mapping[str, float]:
+    def _report(self, instance: int, usage: Any) -> Mapping[str, float]:
         if not usage:
             return {}
         if isinstance(usage, Mapping):
-            return {k: v for k, v in usage.items() if isinstance(v, int | float) and v >= 0}
+            return {
+                key: value for key, value in usage.items() if isinstance(value, int | float) and value >= 0
+            }
         if usage and isinstance(usage[0], list):
-            return {k: v for k, v in usage if isinstance(v, int | float) and v >= 0}
-        return {k: v for k, v in zip(self._fields[front], usage, strict=False) if v is not None and v >= 0}
+            return {key: value for key, value in usage if isinstance(value, int | float) and value >= 0}
+        return {
+            key: value
+            for key, value in zip(self._report_fields[instance], usage, strict=False)
+            if value is not None and value >= 0
+        }
 
 
-def _outcome(code: Any) -> i.Outcome:
+def _parse_outcome(code: Any) -> interface.Outcome:
     try:
-        return OUTCOMES[code]
+        return OUTCOMES_BY_CODE[code]
     except (KeyError, TypeError):
         raise WireError(f"unknown outcome {code!r}") from None
 
 
-def _entry(row: list[Any]) -> i.ServerEntry:
+def _parse_entry(row: list[Any]) -> interface.ServerEntry:
     server, zone, _, number, state, size, started = row[:7]
-    return i.ServerEntry(server, number, state, 1.0 if size is None else size, started or 0.0, zone or "")
+    return interface.ServerEntry(
+        server, number, state, 1.0 if size is None else size, started or 0.0, zone or ""
+    )
 
 
-def _wire(front: int, action: i.Action) -> list[Any]:
+def _reply(instance: int, action: interface.Action) -> list[Any]:
     match action:
-        case i.Send(call, server, timeout):
-            return ["Place", front, call, server, timeout]
-        case i.WakeAfter(delay, token):
-            return ["WakeMe", front, delay, token]
-        case i.Refuse(call, come_back):
-            return ["Reject", front, call, come_back]
-        case i.Fail(call):
-            return ["Abort", front, call]
-        case i.Cancel(call, attempt):
-            return ["Revoke", front, call, attempt]
-        case i.Log(text):
-            return ["Record", front, text]
-        case i.Probe(server):
-            return ["Touch", front, server]
-        case i.Tell(data, peer):
-            return ["Signal", front, peer, base64.b64encode(data).decode()]
-        case i.Subscribe(active):
-            return ["Listen", front, active]
+        case interface.Send(call, server, timeout):
+            return ["Place", instance, call, server, timeout]
+        case interface.WakeAfter(delay, token):
+            return ["WakeMe", instance, delay, token]
+        case interface.Refuse(call, come_back):
+            return ["Reject", instance, call, come_back]
+        case interface.Fail(call):
+            return ["Abort", instance, call]
+        case interface.Cancel(call, attempt):
+            return ["Revoke", instance, call, attempt]
+        case interface.Log(text):
+            return ["Record", instance, text]
+        case interface.Probe(server):
+            return ["Touch", instance, server]
+        case interface.Tell(data, peer):
+            return ["Signal", instance, peer, base64.b64encode(data).decode()]
+        case interface.Subscribe(active):
+            return ["Listen", instance, active]
     raise WireError(f"unknown action {action!r}")
 
 
 def parse(line: str) -> list[Any]:
-    """One line of the wire; raises `WireError` with what is wrong."""
+    """Parses one line; raises `WireError` if it is malformed."""
     try:
         message = json.loads(line)
     except ValueError:
@@ -215,15 +235,15 @@
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         raise WireError(f"not a message: {line[:80].strip()!r}")
     name = message[0]
-    if name not in COUNTS:
+    if name not in VALUE_COUNTS:
         raise WireError(f"unknown message {name}")
-    if len(message) - 1 < COUNTS[name]:
-        raise WireError(f"{name}: {len(message) - 1} values, {COUNTS[name]} wanted")
+    if len(message) - 1 < VALUE_COUNTS[name]:
+        raise WireError(f"{name}: {len(message) - 1} values, {VALUE_COUNTS[name]} wanted")
     return message
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
+    """Answers batches from `source` until it ends; raises `WireError` at the first bad line."""
     host = Host()
     frame: list[Any] | None = None
     messages: list[list[Any]] = []
@@ -249,7 +269,7 @@
 
 
 def main() -> int:
-    """Entry point of the command in deploy/balancer.toml."""
+    """Entry point of the command in deploy/balancer.toml; returns the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: a dialogue through the deployed command, and every kind of bad input."""
+"""The simulator's protocol: a dialogue through the deployed command, and malformed input of each kind."""
 
 from __future__ import annotations
 
@@ -42,26 +42,26 @@
 ]
 
 
-def run(lines: list[Any]) -> subprocess.CompletedProcess[str]:
+def run_simhost(lines: list[Any]) -> subprocess.CompletedProcess[str]:
     command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["sim"]
     text = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines) + "\n"
     command = command.replace(".venv/bin/python", sys.executable)
     return subprocess.run(["/bin/sh", "-c", command], input=text, capture_output=True, text=True, cwd=ROOT)
 
 
-def ingress(call: str, now: float, dest: int = 0, cls: str = "a") -> list[Any]:
-    return ["Ingress", 3, call, dest, -1, 1, now + 3.0, 1, None, None, cls, None]
+def call_arrived(call: str, now: float, destination: int = 0, class_name: str = "a") -> list[Any]:
+    return ["Ingress", 3, call, destination, -1, 1, now + 3.0, 1, None, None, class_name, None]
 
 
 def test_dialogue() -> None:
-    done = run(
+    process = run_simhost(
         [
             ["Frame", 8.0, 1],
             ["OpenInstance", 3, 42, OPTIONS],
             CENSUS,
             ["Targets", 3, 0, "remembered", 41],
-            ingress("c1", 8.0),
-            ingress("c2", 8.0, 1),
+            call_arrived("c1", 8.0),
+            call_arrived("c2", 8.0, 1),
             ["Go"],
             ["Frame", 8.1, 2],
             ["Flowing", 3, "c1", 0, 0.1, "s0"],
@@ -73,19 +73,19 @@
             ["OpenInstance", 3, 43, OPTIONS],
             ["Census", 0, [["s9", "z", "k", 0, "ready", 1, None]]],
             ["Targets", 3, 0, "remembered", 41],
-            ingress("c3", 9.0),
+            call_arrived("c3", 9.0),
             ["Go"],
         ]
     )
-    assert done.returncode == 0, done.stderr
-    replies = [json.loads(line) for line in done.stdout.splitlines()]
-    places = [tuple(r[1:4]) for r in replies if r[0] == "Place"]
+    assert process.returncode == 0, process.stderr
+    replies = [json.loads(line) for line in process.stdout.splitlines()]
+    places = [tuple(reply[1:4]) for reply in replies if reply[0] == "Place"]
     assert places == [(3, "c1", "s0"), (3, "c2", "s1"), (3, "c2", "s0"), (3, "c3", "s9")]
-    assert [r[1] for r in replies if r[0] == "Ok"] == [1, 2, 3]
+    assert [reply[1] for reply in replies if reply[0] == "Ok"] == [1, 2, 3]
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "error"),
     [
         ("nonsense", "not JSON"),
         ('{"a": 1}', "not a message"),
@@ -94,16 +94,16 @@
         ('["Alarm", 1, 2]', "Alarm: outside of a batch"),
     ],
 )
-def test_bad_lines_end_the_run_with_one_plain_line(line: str, said: str) -> None:
-    done = run([line])
-    assert done.returncode != 0
-    assert said in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+def test_bad_lines_end_the_run_with_one_line_of_error(line: str, error: str) -> None:
+    process = run_simhost([line])
+    assert process.returncode != 0
+    assert error in process.stderr
+    assert len(process.stderr.splitlines()) == 1
 
 
 def test_input_that_ends_within_a_batch() -> None:
-    done = run([["Frame", 1.0, 1]])
-    assert done.returncode != 0 and "within a batch" in done.stderr
+    process = run_simhost([["Frame", 1.0, 1]])
+    assert process.returncode != 0 and "within a batch" in process.stderr
 
 
 def test_extra_values_are_ignored() -> None:
@@ -121,10 +121,10 @@
         ("Classes", []),
     ],
 )
-def test_settings_that_are_missing_or_senseless_are_named(path: str, value: object) -> None:
+def test_missing_or_invalid_settings_are_named(path: str, value: object) -> None:
     options = json.loads(json.dumps(OPTIONS))
-    place, _, key = path.rpartition(".")
-    (options[place] if place else options)[key] = value
+    section, _, key = path.rpartition(".")
+    (options[section] if section else options)[key] = value
     with pytest.raises(SettingsError, match=path.replace(".", r"\.")):
         read_settings(options)
 
@@ -136,29 +136,29 @@
         read_settings(options)
 
 
-def test_bad_settings_become_an_exception_of_that_instance_alone() -> None:
+def test_bad_settings_fail_that_instance_alone() -> None:
     host = Host()
     replies = host.batch(
         1.0,
         [["OpenInstance", 1, 1, {}], ["OpenInstance", 2, 1, OPTIONS], CENSUS, ["Targets", 1, 0, "all", 1]],
     )
-    assert [r[:2] for r in replies if r[0] == "Exception"] == [["Exception", 1]]
-    assert any(r[0] == "WakeMe" and r[1] == 2 for r in replies)
+    assert [reply[:2] for reply in replies if reply[0] == "Exception"] == [["Exception", 1]]
+    assert any(reply[0] == "WakeMe" and reply[1] == 2 for reply in replies)
 
 
-def test_an_error_in_the_decisions_is_told_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_the_decisions_is_reported_with_its_cause(monkeypatch: pytest.MonkeyPatch) -> None:
     host = Host()
     host.batch(1.0, [["OpenInstance", 1, 1, OPTIONS]])
 
     def broken(*_: object) -> None:
-        raise RuntimeError("out of olives")
+        raise RuntimeError("no servers")
 
     monkeypatch.setattr(host._controllers[1], "step", broken)
     replies = host.batch(1.1, [["Alarm", 1, 0]])
-    assert replies == [["Exception", 1, "RuntimeError: out of olives"]]
+    assert replies == [["Exception", 1, "RuntimeError: no servers"]]
 
 
-def test_unknown_outcome_is_no_guess() -> None:
+def test_an_unknown_outcome_is_an_error() -> None:
     host = Host()
     host.batch(1.0, [["OpenInstance", 3, 1, OPTIONS]])
     with pytest.raises(WireError, match="outcome 99"):
@@ -166,20 +166,20 @@
 
 
 def test_split_over_processes_changes_nothing() -> None:
-    def open_and_call(fronts: list[int]) -> dict[int, list[Any]]:
+    def open_and_call(instances: list[int]) -> dict[int, list[Any]]:
         host = Host()
-        seen: dict[int, list[Any]] = {}
-        for now, make in ((1.0, True), (1.1, False)):
-            messages: list[list[Any]] = [CENSUS] if make else []
-            for n in fronts:
-                if make:
-                    messages += [["OpenInstance", n, n, OPTIONS], ["Targets", n, 0, "all", 1]]
+        replies_by_instance: dict[int, list[Any]] = {}
+        for now, first in ((1.0, True), (1.1, False)):
+            messages: list[list[Any]] = [CENSUS] if first else []
+            for number in instances:
+                if first:
+                    messages += [["OpenInstance", number, number, OPTIONS], ["Targets", number, 0, "all", 1]]
                 else:
-                    messages += [["Ingress", n, f"c{n}", 5, -1, 1, 4.0, 1, None, None, "a", None]]
+                    messages += [["Ingress", number, f"c{number}", 5, -1, 1, 4.0, 1, None, None, "a", None]]
             for reply in host.batch(now, messages):
-                seen.setdefault(reply[1], []).append(reply)
-        return seen
+                replies_by_instance.setdefault(reply[1], []).append(reply)
+        return replies_by_instance
 
     together = open_and_call([1, 2, 3])
-    apart = {n: open_and_call([n])[n] for n in (1, 2, 3)}
-    assert together == apart
+    separate = {number: open_and_call([number])[number] for number in (1, 2, 3)}
+    assert together == separate
