--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -312,7 +312,7 @@
             message.attempt,
         )
         if not message.lasting:
-            events.append(self._end_standing_call(record, now, interface.Outcome.OK, told=False))
+            events.append(self._end_standing_call(record, now, interface.Outcome.OK, notify_caller=False))
         return events
 
     def _on_attempt_ended(
@@ -369,7 +369,7 @@
             return []
         if record.standing_server is not None:
             self._servers.release(record.standing_server, call)
-            return [self._end_standing_call(record, now, interface.Outcome.CANCELLED, told=False)]
+            return [self._end_standing_call(record, now, interface.Outcome.CANCELLED, notify_caller=False)]
         if record.answered or record.offer.caller is not caller:
             self._counters.add("core.late_words")
             return []
@@ -379,12 +379,12 @@
         return [interface.CallerLeft(call)]
 
     def _end_standing_call(
-        self, record: CallRecord, now: float, outcome: interface.Outcome, *, told: bool = True
+        self, record: CallRecord, now: float, outcome: interface.Outcome, *, notify_caller: bool = True
     ) -> interface.Event:
-        """Ends a standing call; `told` is False if its caller already knows."""
+        """Ends a standing call; `notify_caller` is False if its caller knows already."""
         server = str(record.standing_server)
         record.standing_server = None
-        if told:
+        if notify_caller:
             record.offer.caller.over(cut=outcome is not interface.Outcome.OK)
         self._counters.add(f"calls.{outcome.value}")
         self._calls.close(record)
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -320,6 +320,7 @@
                     server.leaving_since = self.now if server.leaving_since is None else server.leaving_since
 
     def _apply_report(self, name: str, report: object) -> None:
+        """Applies a server's report: free lines, and its CPU load or mean wait."""
         server = self.servers.get(name)
         if server is None or not isinstance(report, dict):
             return
@@ -423,6 +424,7 @@
         return MAX_OCCUPANCY * max(wait / self.closing_wait, excess_faults / CLOSING_FAULT_SHARE)
 
     def _run_interval(self) -> None:
+        """Runs once an interval: updates the arrival rate, drops removed servers, adjusts all others."""
         self.actions.append(interface.WakeAfter(self.interval, INTERVAL_TOKEN))
         weight = self.interval / min(
             max(self.now - self.started_at, STARTUP_INTERVALS * self.interval), TRAFFIC_AVERAGE_S
@@ -474,6 +476,7 @@
         )
 
     def _adjust_throttle(self, server: Server) -> None:
+        """Closes or opens the server by its occupancy, and moves its gate rate between rmin and rmax."""
         server.close_interval(self.interval)
         if not server.throttle:
             # Without decay no attempt would ever be sent there again.
@@ -532,6 +535,7 @@
         server.gate.add(server.gate_rate * self.interval, server.gate_rate * step_time)
 
     def _is_gated(self, server: Server) -> bool:
+        """Whether the server is closed and its gate applies."""
         return not server.throttle and server.closed_intervals > GATE_DELAY_INTERVALS - MONITOR_INTERVALS
 
     # Arrival, routing, answers
@@ -562,6 +566,7 @@
         return [server for server in self.servers.values() if self._may_use(call, server)]
 
     def _route(self, call: Call) -> None:
+        """Sends the call to a server, holds it, or gives its final answer."""
         if self.now >= call.deadline - EPSILON_S or call.tries >= call.attempt_limit:
             return self._refuse_or_fail(call)
         usable = self._usable_servers(call)
@@ -660,6 +665,7 @@
     # Guards: every attempt passes them
 
     def _may_use(self, call: Call, server: Server) -> bool:
+        """Whether an attempt of the call at the server is allowed now."""
         if (
             server.leaving_since is not None
             or server.free_lines <= 0
@@ -696,6 +702,7 @@
         return self.arrival_rate * server.size / max(size, server.size)
 
     def _send(self, call: Call, server: Server) -> None:
+        """Starts an attempt; one that breaks a guard ends this call, not the instance."""
         if call.attempt_at or self.now < call.not_before or not self._may_use(call, server):
             self.actions.append(interface.Log(f"guard: attempt of {call.id} at {server.id} not allowed"))
             return None if call.attempt_at else self._refuse_or_fail(call)
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -8,9 +8,9 @@
 from harepick import decide
 
 
-@pytest.mark.parametrize(("seed", "fronts"), [(1, 30), (2, 20), (7, 30), (52, 60)])
-def test_what_all_fronts_send_to_a_cold_server_stays_within_its_budget(seed: int, fronts: int) -> None:
-    found = World(seed, fronts).play()
+@pytest.mark.parametrize(("seed", "instances"), [(1, 30), (2, 20), (7, 30), (52, 60)])
+def test_what_all_instances_send_to_a_cold_server_stays_within_its_budget(seed: int, instances: int) -> None:
+    found = World(seed, instances).play()
     assert found["cold"] and found["sends"] > 500
     assert found["worst"] <= 1.0
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -9,16 +9,16 @@
 from .world import World, entries, settings
 
 
-@pytest.mark.parametrize("fronts", [6, 300])
+@pytest.mark.parametrize("instances", [6, 300])
 @pytest.mark.parametrize("seed", [1, 900])
-def test_all_fronts_together_keep_a_restarted_server_standing(fronts: int, seed: int) -> None:
+def test_all_instances_together_keep_a_restarted_server_standing(instances: int, seed: int) -> None:
     """Each instance sent one and a half calls at once to a restarted server, which collapsed."""
-    config = settings(fronts=fronts)
+    config = settings(fronts=instances)
     servers, capacity = 3, 30.0  # calls a second of one server; the instances offer as much
-    gap = fronts / (servers * capacity)
+    gap = instances / (servers * capacity)
     restart = 100.0 + max(20.0, 12 * gap)
     sends: list[float] = []
-    for number in range(fronts):
+    for number in range(instances):
         world = World(config, seed=seed + number)
         world.servers(*entries(*range(servers)))
         count = 0
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -276,14 +276,14 @@
         run_order(order, cancelling=rng.random() < 0.7, seed=seed)
 
 
-@pytest.mark.parametrize("rule", ["gone", "told off", "one final answer", "late answer"])
+@pytest.mark.parametrize("rule", ["gone", "unavailable server", "one final answer", "late answer"])
 def test_a_core_that_breaks_a_rule_is_found(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def may_send(self: Engine, attempt: Attempt, now: float) -> bool:
         if attempt.ended or attempt.revoked or now >= attempt.deadline:
             return False
-        return rule == "told off" or attempt.server in self._ready_servers
+        return rule == "unavailable server" or attempt.server in self._ready_servers
 
-    if rule in ("gone", "told off"):
+    if rule in ("gone", "unavailable server"):
         monkeypatch.setattr(core.Engine, "_may_send", may_send)
     elif rule == "late answer":
         monkeypatch.setattr(CallWorld, "release", lambda self, server, call: None)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -101,13 +101,13 @@
         world.after(0.1)
         world.stand(name)
     world.servers(*entries(2, started=world.now), kind=interface.ListKind.CHANGES)
-    begun = world.now
+    restarted_at = world.now
     for _ in range(60):
         world.call(2)
         world.after(0.02)
     cold = [sent for sent, _, server in world.sends if server == "s2"]
-    carried = 10.0 / 3 * 2  # 50 calls a second come, but the share follows the 10 a second of the history
-    limit = carried * 0.3 * 2.0 * (world.now - begun) + 2
+    fair_rate = 10.0 / 3 * 2  # 50 calls a second come, but the share follows the 10 a second of the history
+    limit = fair_rate * 0.3 * 2.0 * (world.now - restarted_at) + 2
     assert 0 < len(cold) <= limit
 
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Occupancy, throttle, gate, routing and rescue of the decision module, each by its figures."""
+"""Occupancy, throttle, gate, routing and cancelling of the decision module."""
 
 from __future__ import annotations
 
