--- a/benchmarks/gap_load.py
+++ b/benchmarks/gap_load.py
@@ -126,9 +126,9 @@
         call = os.urandom(8)
         fields = {
             binary.CLASS: b"a",
-            binary.PATIENCE: b"4000",
+            binary.TIME_LIMIT: b"4000",
             binary.NUMBER: number,
-            binary.FIGURES: b"dest:0;width:1;via:-1",
+            binary.ATTRIBUTES: b"dest:0;width:1;via:-1",
             binary.DESCRIPTION: b"offer\r\n",
         }
         with self.lock:
--- a/harepick/__main__.py
+++ b/harepick/__main__.py
@@ -1,16 +1,16 @@
-"""Start and stop of the program: reads the configuration, runs the fronts, follows the signals.
+"""Start and stop of the program: reads the configuration, runs the fronts and handles signals.
 
-SIGTERM and SIGINT stop it, SIGUSR1 prints the counters, SIGHUP has the configuration and the operator's
-file read again.
-"""
+SIGTERM and SIGINT stop the program, SIGUSR1 logs the counters, and SIGHUP reloads the configuration and
+the operator's file."""
 
 from __future__ import annotations
 
 import signal
 
-EARLY: list[int] = []  # SIGHUPs that came before anybody could follow them: the default would end the program
+# SIGHUPs that came before there was a handler: the default action would end the program.
+EARLY_SIGHUPS: list[int] = []
 if __name__ == "__main__":
-    signal.signal(signal.SIGHUP, lambda number, _: EARLY.append(number))
+    signal.signal(signal.SIGHUP, lambda number, _: EARLY_SIGHUPS.append(number))
 
 # ruff: noqa: E402
 import argparse
@@ -30,32 +30,34 @@
 
 
 async def serve(fronts: list[Front], counters: Counters, log: Log) -> None:
-    """Runs the fronts until SIGTERM or SIGINT has been seen through."""
+    """Runs the fronts until they have stopped after SIGTERM or SIGINT."""
     stop = anyio.Event()
-    # Opened before anyone is told that the program serves: a signal must not find the default handler.
-    with anyio.open_signal_receiver(*SIGNALS) as heard:
+    # Opened before readiness is reported: a signal must not find the default handler.
+    with anyio.open_signal_receiver(*SIGNALS) as received:
         async with anyio.create_task_group() as signals:
             async with anyio.create_task_group() as tasks:
                 for front in fronts:
                     await tasks.start(front.run, stop)
                 log.event("serving")
-                if EARLY:  # the file may have been replaced after it was read
+                if EARLY_SIGHUPS:  # the file may have been replaced after it was read
                     for front in fronts:
                         front.reload()
-                signals.start_soon(follow, heard, fronts, stop, counters, log)
+                signals.start_soon(handle_signals, received, fronts, stop, counters, log)
             signals.cancel_scope.cancel()
 
 
-async def follow(
-    heard: AsyncIterator[signal.Signals],
+async def handle_signals(
+    received: AsyncIterator[signal.Signals],
     fronts: list[Front],
     stop: anyio.Event,
     counters: Counters,
     log: Log,
 ) -> None:
-    """Until the fronts have ended. Of a SIGHUP and a SIGTERM that are both pending, the kernel runs the
-    handler of the second first: the file is read in a drain as well."""
-    async for number in heard:
+    """Handles signals until the fronts have ended.
+
+    If SIGHUP and SIGTERM are both pending, the kernel runs the handler of SIGTERM first, so the
+    configuration is reloaded during a drain as well."""
+    async for number in received:
         if number == signal.SIGUSR1:
             log.event("counters", **counters.snapshot())
         elif number == signal.SIGHUP:
@@ -66,25 +68,25 @@
             stop.set()
 
 
-def read(words: list[str], counters: Counters) -> tuple[list[Front], Log]:
-    """The fronts that the command line and the variables ask for."""
+def create_fronts(arguments: list[str], counters: Counters) -> tuple[list[Front], Log]:
+    """Creates the fronts that the command line and the environment ask for; raises `SettingsError`."""
     parser = argparse.ArgumentParser(prog="harepick", description="A border controller.")
     parser.add_argument("--operator", metavar="FILE", help="set up the ENUM front as this file says")
-    wanted = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     fronts: list[Front] = []
     platform = None
-    if os.environ.get("GW_CONFIG") or not wanted.operator:
+    if os.environ.get("GW_CONFIG") or not options.operator:
         platform = read_platform(os.environ)
     log = Log(platform.name if platform else "")
     if platform:
         fronts.append(PlatformFront(platform, os.environ, counters, log))
-    if wanted.operator:
-        fronts.append(_operators_front(wanted.operator, counters, log))
+    if options.operator:
+        fronts.append(_enum_front(options.operator, counters, log))
     return fronts, log
 
 
-def _operators_front(path: str, counters: Counters, log: Log) -> Front:
-    """What an operator's file sets up. Off on the platform: not even loaded there."""
+def _enum_front(path: str, counters: Counters, log: Log) -> Front:
+    """Creates the front that an operator's file configures; its packages are imported only then."""
     if "store" in read_toml(path):
         from harepick.store.service import StoreFront
 
@@ -94,10 +96,11 @@
     return EnumFront(read_operator_file(path), counters, log, path=path)
 
 
-def _leaves(group: BaseExceptionGroup[SettingsError]) -> Iterator[SettingsError]:
+def _leaf_errors(group: BaseExceptionGroup[SettingsError]) -> Iterator[SettingsError]:
+    """Yields the errors of a group and of the groups in it."""
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
-            yield from _leaves(error)
+            yield from _leaf_errors(error)
         else:
             yield error
 
@@ -106,18 +109,18 @@
     """Entry point of the command `run` in deploy/balancer.toml."""
     counters = Counters()
     try:
-        fronts, log = read(sys.argv[1:], counters)
+        fronts, log = create_fronts(sys.argv[1:], counters)
     except SettingsError as error:
         print(f"harepick: {error}", file=sys.stderr)
         return 2
     try:
         anyio.run(serve, fronts, counters, log)
     except BaseExceptionGroup as group:
-        faulty, rest = group.split(SettingsError)
-        if faulty is None or rest is not None:
+        settings_errors, rest = group.split(SettingsError)
+        if settings_errors is None or rest is not None:
             log.event("crashed", error=repr(group))
             raise
-        for each in _leaves(faulty):  # found only as it started: an address in use, say
+        for each in _leaf_errors(settings_errors):  # found only at the start, an address in use for example
             print(f"harepick: {each}", file=sys.stderr)
         return 2
     except BaseException as error:
--- a/harepick/net/__init__.py
+++ b/harepick/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: codecs without sockets, and the connections that use them."""
+"""The platform's protocols: codecs that use no sockets, and the connections built on them."""
--- a/harepick/net/binary.py
+++ b/harepick/net/binary.py
@@ -1,8 +1,7 @@
-"""The binary messages that callers speak: a codec without sockets.
+"""Codec of the binary messages that callers send and receive; uses no sockets.
 
-message   = length:2 type:1 call:8 parameters      length counts all that follows it; big-endian
-parameter = code:1 length:2 value
-"""
+message   = length:2 type:1 call:8 parameters      length counts all bytes after itself; big-endian
+parameter = code:1 length:2 value"""
 
 from __future__ import annotations
 
@@ -10,86 +9,96 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-MOST = 16 * 1024  # bytes of a message, its length field included
+MAX_MESSAGE_BYTES = 16 * 1024  # including the length field
 
-SET_UP, PROGRESS, ANSWER, RELEASE, HEARD, STATE, TEST, TESTED = 1, 6, 9, 12, 16, 43, 52, 53
-CLASS, PATIENCE, NUMBER, STAY_AWAY, FIGURES, CAUSE, DESCRIPTION = 3, 5, 11, 15, 13, 31, 33
+# Message types
+SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_COMPLETE, STATE, TEST, TEST_RESULT = 1, 6, 9, 12, 16, 43, 52, 53
+# Parameter codes
+CLASS, TIME_LIMIT, NUMBER, RETRY_AFTER, ATTRIBUTES, CAUSE, DESCRIPTION = 3, 5, 11, 15, 13, 31, 33
 
-HEAD = struct.Struct(">HB8s")
+HEADER = struct.Struct(">HB8s")
 PARAMETER = struct.Struct(">BH")
 
 
 class BinaryError(ValueError):
-    """Bytes that are no message; the connection they came on is of no more use."""
+    """The bytes received are not a valid message; the connection cannot be used any further."""
 
 
 @dataclass(slots=True)
 class Message:
+    """One message: its type, the 8-byte call id, and the values of its parameters by code."""
+
     type: int
     call: bytes
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     def encode(self) -> bytes:
+        """Returns the message as bytes, length field included."""
         body = b"".join(PARAMETER.pack(code, len(value)) + value for code, value in self.parameters.items())
-        return HEAD.pack(HEAD.size - 2 + len(body), self.type, self.call) + body
+        return HEADER.pack(HEADER.size - 2 + len(body), self.type, self.call) + body
 
 
 class Decoder:
-    """Takes bytes as they come, gives whole messages; keeps at most one message's worth."""
+    """Incremental decoder; buffers at most one incomplete message."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def pending(self) -> bool:
-        """A message has begun that is not yet whole."""
+        """Whether an incomplete message is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole now, one by one: what comes ahead of a malformed one counts."""
+        """Yields the messages completed by `data`, one at a time, so that those ahead of a malformed one
+        are still delivered.
+
+        Raises `BinaryError` at a malformed message."""
         buffer = self._buffer + data
         self._buffer = bytearray()
         start = 0
         while len(buffer) - start >= 2:
             length = int.from_bytes(buffer[start : start + 2], "big")
-            if length < HEAD.size - 2 or length + 2 > MOST:
-                raise BinaryError(f"a message of {length} bytes")
+            if length < HEADER.size - 2 or length + 2 > MAX_MESSAGE_BYTES:
+                raise BinaryError(f"message length {length} is out of bounds")
             end = start + 2 + length
             if len(buffer) < end:
                 break
-            yield _message(bytes(buffer[start:end]))
+            yield _parse_message(bytes(buffer[start:end]))
             start = end
         self._buffer = buffer[start:]
 
 
-def _message(data: bytes) -> Message:
-    _, kind, call = HEAD.unpack_from(data)
+def _parse_message(data: bytes) -> Message:
+    _, kind, call = HEADER.unpack_from(data)
     parameters = {}
-    at = HEAD.size
+    at = HEADER.size
     while at < len(data):
         if at + PARAMETER.size > len(data):
-            raise BinaryError("a parameter is cut short")
+            raise BinaryError("parameter header is truncated")
         code, length = PARAMETER.unpack_from(data, at)
         at += PARAMETER.size
         if at + length > len(data):
-            raise BinaryError(f"parameter {code} is cut short")
+            raise BinaryError(f"parameter {code} is truncated")
         parameters[code] = data[at : at + length]
         at += length
     return Message(kind, call, parameters)
 
 
-def figures(value: bytes) -> dict[str, str]:
-    """`dest:2;width:1;via:-1` as a table."""
+def parse_attributes(value: bytes) -> dict[str, str]:
+    """Parses `dest:2;width:1;via:-1` into a dict of texts; parts without a colon are left out."""
     pairs = (part.partition(":") for part in value.decode("ascii", "replace").split(";"))
     return {name.strip(): text.strip() for name, mark, text in pairs if mark}
 
 
-def answer(call: bytes, description: bytes) -> bytes:
+def encode_answer(call: bytes, description: bytes) -> bytes:
+    """Encodes the answer to a set-up, with the session description."""
     return Message(ANSWER, call, {DESCRIPTION: description}).encode()
 
 
-def release(call: bytes, cause: int, stay_away_ms: int | None = None) -> bytes:
+def encode_release(call: bytes, cause: int, retry_after_ms: int | None = None) -> bytes:
+    """Encodes a release with a Q.850 cause, and optionally the time after which to retry, in milliseconds."""
     parameters = {CAUSE: bytes([cause])}
-    if stay_away_ms is not None:
-        parameters[STAY_AWAY] = str(stay_away_ms).encode()
+    if retry_after_ms is not None:
+        parameters[RETRY_AFTER] = str(retry_after_ms).encode()
     return Message(RELEASE, call, parameters).encode()
--- a/harepick/net/bus.py
+++ b/harepick/net/bus.py
@@ -1,8 +1,7 @@
-"""The event bus: follows the list of setup servers, and connects again from the last event heard.
+"""Client of the event bus: follows the list of setup servers, and reconnects from the last event received.
 
-A watch may be open, speak every second and still bring no events. Its line of each second holds the bus's
-last number: one ahead of the last event applied is a watch that keeps something back (`Lag`).
-"""
+The bus sends its last event number every second. A watch may be open and send that line, and still bring
+no events; a number that stays ahead of the last event applied shows this (`LagMonitor`)."""
 
 from __future__ import annotations
 
@@ -22,54 +21,63 @@
 from harepick.net.servers import Servers
 from harepick.settings import Address
 
-# The bus says something every second, and what it would have told counts as told 4 s after it fell silent
-# and 2 s after a break: a line may be late, but two pauses and a connection must fit into those 2 s.
-SILENCE = 1.75
-IN_STEP = 0.25  # drawn off it: a fleet whose watches fall silent at once does not ask again at once
-LINE = 1 << 20
-CONNECT_TIMEOUT = 0.5
-FIRST_PAUSE, LONGEST_PAUSE = 0.02, 0.2
-# What a watch keeps back counts as told 4 s after it fell silent. Its line comes within a second of that, and
-# the next watch needs a connection: 0.5 to 1.5 s of patience fit between, spread so that a fleet that notices
-# at once does not ask at once.
-PATIENCE = 0.5
-SPREAD = 1.0
-LONGEST_PATIENCE = 8.0  # doubled up to here while asking again brings nothing: the bus itself is behind then
+# The bus sends a line every second. The platform holds an instance to an event 4 s after its watch fell
+# silent, and 2 s after the connection broke: a line may be late, but two reconnect delays and a connection
+# attempt must fit into those 2 s.
+SILENCE_TIMEOUT_S = 1.75
+# Subtracted at random, so that a fleet whose watches fall silent at once reconnects spread out.
+SILENCE_JITTER_S = 0.25
+MAX_LINE_BYTES = 1 << 20
+CONNECT_TIMEOUT_S = 0.5
+MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.02, 0.2
+# The platform holds an instance to a withheld event 4 s after the watch stopped bringing events. The line
+# with the number comes within a second of that and the next watch needs a connection: a tolerance of 0.5 to
+# 1.5 s fits between, at random so that a fleet that notices at once reconnects spread out.
+LAG_TOLERANCE_S = 0.5
+LAG_JITTER_S = 1.0
+MAX_LAG_TOLERANCE_S = 8.0  # doubled up to this while new watches bring nothing: the bus itself is behind
 
 
-class Lag:
-    """Whether the bus's last number is ahead of what was applied, and until when that is borne. Pure."""
+class LagMonitor:
+    """Tells when a watch that withholds events is to be replaced by a new one.
+
+    Compares the bus's last event number with the last one applied. Does no I/O."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._tries = 0
-        self._number = 0  # that the bus has told and we lack
-        self.due: float | None = None  # when a new watch is to begin
+        self._failed_watches = 0
+        self._awaited_number = 0  # the last number reported by the bus ahead of what was applied
+        self.reconnect_at: float | None = None  # monotonic time at which a new watch is to begin
 
-    def told(self, number: int, applied: int, now: float) -> None:
-        """The bus's last number, and the number of the last event applied."""
+    def bus_reported(self, number: int, applied: int, now: float) -> None:
+        """Takes the last number of the bus, and the number of the last event applied."""
         if number <= applied:
-            self._tries, self.due = 0, None
-        elif self.due is None:
-            self._number = number
-            patience = min(PATIENCE * 2.0**self._tries, LONGEST_PATIENCE)
-            self.due = now + patience + SPREAD * self._rng.random()
+            self._failed_watches, self.reconnect_at = 0, None
+        elif self.reconnect_at is None:
+            self._awaited_number = number
+            tolerance = min(LAG_TOLERANCE_S * 2.0**self._failed_watches, MAX_LAG_TOLERANCE_S)
+            self.reconnect_at = now + tolerance + LAG_JITTER_S * self._rng.random()
+
+    def event_applied(self, number: int) -> None:
+        """Ends the wait if this event is the awaited one: the watch does bring events."""
+        if self.reconnect_at is not None and number >= self._awaited_number:
+            self._failed_watches, self.reconnect_at = 0, None
 
-    def applied(self, number: int) -> None:
-        """An event has come: the watch does not keep back what led to the wait."""
-        if self.due is not None and number >= self._number:
-            self._tries, self.due = 0, None
+    def watch_started(self) -> None:
+        """Notes a new watch; if the one before withheld events, the tolerance is doubled."""
+        self._failed_watches = (
+            min(self._failed_watches + 1, 8) if self.reconnect_at is not None else self._failed_watches
+        )
+        self.reconnect_at = None
 
-    def asked(self) -> None:
-        """A new watch has begun."""
-        self._tries = min(self._tries + 1, 8) if self.due is not None else self._tries
-        self.due = None
 
+class BusClient:
+    """Follows the event bus: applies its events to the directory and hands them to the servers' port and
+    the core."""
 
-class Bus:
     def __init__(
         self,
-        where: Address,
+        address: Address,
         directory: Directory,
         inbox: Inbox,
         servers: Servers,
@@ -78,40 +86,42 @@
         seed: int = 0,
     ) -> None:
         rng = random.Random(seed)
-        self._lag = Lag(rng)
-        self._silence = SILENCE - IN_STEP * rng.random()
-        self._address = where
+        self._lag = LagMonitor(rng)
+        self._silence_timeout = SILENCE_TIMEOUT_S - SILENCE_JITTER_S * rng.random()
+        self._address = address
         self._directory = directory
         self._inbox = inbox
         self._servers = servers
         self._counters = counters
         self._log = log
-        self._turn = anyio.CancelScope()  # of the connection, or of the wait for one
+        self._connection_scope = anyio.CancelScope()  # of the connection, or of the wait for one
 
     @property
     def address(self) -> Address:
+        """Where the bus is now."""
         return self._address
 
-    def move(self, where: Address) -> None:
-        """The bus is elsewhere now: followed there at once, from the last event heard here."""
-        self._address = where
-        self._turn.cancel()
+    def change_address(self, address: Address) -> None:
+        """Switches to another address at once, continuing from the last event received here."""
+        self._address = address
+        self._connection_scope.cancel()
 
     async def run(self) -> None:
-        pause = FIRST_PAUSE
+        """Follows the bus until cancelled, reconnecting whenever a connection ends."""
+        delay = MIN_RECONNECT_DELAY_S
         while True:
-            with anyio.CancelScope() as self._turn:
-                heard = await self._connection()
+            with anyio.CancelScope() as self._connection_scope:
+                received = await self._connect_and_follow()
                 self._counters.add("bus.lost")
-                pause = FIRST_PAUSE if heard else min(2 * pause, LONGEST_PAUSE)
-                await anyio.sleep(pause)
-            if self._turn.cancel_called:
-                pause = FIRST_PAUSE
+                delay = MIN_RECONNECT_DELAY_S if received else min(2 * delay, MAX_RECONNECT_DELAY_S)
+                await anyio.sleep(delay)
+            if self._connection_scope.cancel_called:
+                delay = MIN_RECONNECT_DELAY_S
 
-    async def _connection(self) -> bool:
-        """One connection to its end; True if anything came."""
+    async def _connect_and_follow(self) -> bool:
+        """Runs one connection to its end; returns whether anything was received."""
         try:
-            with anyio.fail_after(CONNECT_TIMEOUT):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 stream = await anyio.connect_tcp(self._address.host, self._address.port)
             async with stream:
                 return await self._follow(stream)
@@ -120,35 +130,39 @@
             return False
 
     async def _follow(self, stream: SocketStream) -> bool:
-        """Until the connection ends, falls silent or keeps something back; True if anything came."""
-        self._lag.asked()
-        asked_from = self._directory.offset
-        await stream.send(b"from %d\n" % asked_from)
+        """Reads until the connection ends, falls silent or withholds events; returns whether anything was
+        received."""
+        self._lag.watch_started()
+        start_offset = self._directory.offset
+        await stream.send(b"from %d\n" % start_offset)
         self._counters.add("bus.connections")
         lines = BufferedByteReceiveStream(stream)
-        heard = False
+        received = False
         while True:
             try:
                 now = time.monotonic()
-                due = self._lag.due
+                reconnect_at = self._lag.reconnect_at
                 with anyio.fail_after(
-                    self._silence if due is None else min(self._silence, max(0.0, due - now))
+                    self._silence_timeout
+                    if reconnect_at is None
+                    else min(self._silence_timeout, max(0.0, reconnect_at - now))
                 ):
-                    line = await lines.receive_until(b"\n", LINE)
+                    line = await lines.receive_until(b"\n", MAX_LINE_BYTES)
                 event = orjson.loads(line)
-                heard = True
-                if (number := last_number(event)) is not None:
-                    self._lag.told(number, self._directory.offset, time.monotonic())
-                    if (
-                        number < self._directory.offset
-                    ):  # the pages know no such bus: told, nothing taken back
+                received = True
+                if (number := reported_number(event)) is not None:
+                    self._lag.bus_reported(number, self._directory.offset, time.monotonic())
+                    if number < self._directory.offset:
+                        # The protocol does not provide for this: it is counted, and no event is undone.
                         self._counters.add("bus.lower_numbers")
                     continue
-                if self._directory.skips(event) and self._directory.offset > asked_from:
-                    # Asked again from the last one before: what a new watch begins with is all there is.
+                if self._directory.skips(event) and self._directory.offset > start_offset:
+                    # The events between are missing: watch again from the last one applied. What is missing
+                    # at the start of a watch does not exist, so this is done only after an event of this
+                    # watch.
                     self._counters.add("bus.gaps")
                     self._log.event("bus_gap", bus=str(self._address), applied=self._directory.offset)
-                    return heard
+                    return received
                 change = self._directory.apply(event)
             except (
                 anyio.IncompleteRead,
@@ -156,12 +170,12 @@
                 anyio.BrokenResourceError,
                 TimeoutError,
             ) as error:
-                if self._lag.due is not None and isinstance(error, TimeoutError):
+                if self._lag.reconnect_at is not None and isinstance(error, TimeoutError):
                     self._counters.add("bus.behind")
                     self._log.event("bus_behind", bus=str(self._address), applied=self._directory.offset)
-                    return heard
+                    return received
                 self._log.event("bus_broken", bus=str(self._address), error=type(error).__name__)
-                return heard
+                return received
             except (orjson.JSONDecodeError, DirectoryError, anyio.DelimiterNotFound) as error:
                 self._counters.add("bus.malformed")
                 self._log.event("bus_malformed", error=str(error), line=line[:400].decode("latin-1"))
@@ -170,15 +184,16 @@
                 self._counters.add("bus.repeated")
                 continue
             self._counters.add("bus.events")
-            self._lag.applied(self._directory.offset)
+            self._lag.event_applied(self._directory.offset)
             rows = [f"{e.server} {e.state} {e.started:.3f}" for e in change.entries]
             self._log.event("list", offset=self._directory.offset, rows=rows)
-            self._servers.listed(change)
-            self._inbox.put_nowait(ControllerEvent(change))  # it may not be lost if the bus moves just now
+            self._servers.apply_list(change)
+            # Not awaited: a change of the bus's address must not lose it.
+            self._inbox.put_nowait(ControllerEvent(change))
 
 
-def last_number(event: object) -> int | None:
-    """What the line of every second says, or None if this is no such line."""
+def reported_number(event: object) -> int | None:
+    """Returns the event number in the line sent every second, or None for any other line."""
     if isinstance(event, dict) and event.keys() == {"offset"}:
         event = event["offset"]
     return event if isinstance(event, int) and not isinstance(event, bool) else None
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -1,9 +1,8 @@
-"""Connections of callers: takes their set-ups in, and writes what they are answered.
+"""Server side of the callers' connections: receives set-ups and writes their answers.
 
-Owns the caller connections and the releases that still look for one. A standing call belongs to no
-connection: its release goes out on the one of its set-up, else on any open one, else on the next one opened.
-What a set-up must look like is in `setups.py`; which connections may stay, and for how long, in `room.py`.
-"""
+Owns the caller connections and the releases that wait for one. A standing call belongs to no connection:
+its release goes out on the connection of its set-up, else on any open one, else on the next one opened.
+`setups.py` validates set-ups; `connection_limits.py` bounds the number and the lifetime of connections."""
 
 from __future__ import annotations
 
@@ -16,79 +15,84 @@
 import anyio.lowlevel
 from anyio.abc import SocketAttribute, SocketListener, SocketStream
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.inbox import Inbox
 from harepick.core.messages import CallerGone, Offer
 from harepick.counters import Counters
 from harepick.log import Log
 from harepick.net import binary
-from harepick.net.connection_limits import Connection, ConnectionLimits, Item
-from harepick.net.setups import BadSetUpError, SetUps
-from harepick.net.steering import spread, steer_away
+from harepick.net.connection_limits import CallerConnection, CallerMessage, ConnectionLimits
+from harepick.net.setups import InvalidSetUpError, SetUpParser
+from harepick.net.steering import detach_filter, steer_away
 
-NORMAL, RESET, CONGESTION, FAILURE = 16, 41, 42, 41  # causes of Q.850 in releases
-RETRY_CAUSES = (34, 42, 102)  # a release with one of these is a refusal: trying again is harmless
-NO_TYPE = 97
-SEND_TIMEOUT = 5.0  # a caller that takes nothing for so long has its connection closed
-WAITING = 4_096  # releases kept for the next connection
-MAX_BAD = 16  # faulty messages taken from one connection; a client that sends the same again is closed
-HANDSHAKE_SETTLE_S = 0.05  # for handshakes that began before new connections went to the successor
-MAX_ENTERING = 4  # connections accepted that the room does not count yet
-AT_ONCE = 8  # messages taken before the others have their turn: a flood must not hold the loop for 0.1 s
+CAUSE_NORMAL, CAUSE_RESET, CAUSE_CONGESTION, CAUSE_FAILURE = 16, 41, 42, 41  # Q.850 causes in releases
+RETRY_CAUSES = (34, 42, 102)  # a release with one of these is a refusal: the caller may safely retry
+CAUSE_UNKNOWN_TYPE = 97  # Q.850: message type not implemented
+SEND_TIMEOUT_S = 5.0  # a caller that reads nothing for this long is disconnected
+MAX_PENDING_RELEASES = 4_096  # releases kept for the next connection
+MAX_INVALID_MESSAGES = 16  # per connection; a client that repeats them is disconnected
+HANDSHAKE_SETTLE_S = 0.05  # time for handshakes that began before new connections went to the successor
+MAX_ENTERING = 4  # accepted connections that are not yet counted against the limit
+MESSAGES_PER_TURN = 8  # handled before other tasks run: a flood must not block the event loop for 0.1 s
 
 
 @dataclass(eq=False, slots=True)
 class BinaryCaller:
     """The caller of one call, as the core sees it."""
 
-    hub: Callers
-    connection: Connection
+    callers: Callers
+    connection: CallerConnection
     call: bytes
-    lane: str  # its class, for the figures
+    lane: str  # the call class, for the counters
     gone: bool = False
 
     def stands(self, description: bytes) -> None:
-        item = Item(self.call, binary.answer(self.call, description), "answer")
-        self.hub.write(self.connection, item, self.lane, "completed")
+        """Sends the answer: the call stands."""
+        item = CallerMessage(self.call, binary.encode_answer(self.call, description), "answer")
+        self.callers.write(self.connection, item, self.lane, "completed")
 
     def refused(self, stay_away: float) -> None:
+        """Sends a refusal, with the time after which to retry, in seconds, if positive."""
         wait = round(stay_away * 1000) if stay_away > 0 else None
-        data = binary.release(self.call, CONGESTION, wait)
-        self.hub.write(self.connection, Item(self.call, data, "final"), self.lane, "rejected")
+        data = binary.encode_release(self.call, CAUSE_CONGESTION, wait)
+        self.callers.write(self.connection, CallerMessage(self.call, data, "final"), self.lane, "rejected")
 
     def failed(self) -> None:
-        item = Item(self.call, binary.release(self.call, FAILURE), "final")
-        self.hub.write(self.connection, item, self.lane, "failed")
+        """Sends the final answer that the call has failed."""
+        item = CallerMessage(self.call, binary.encode_release(self.call, CAUSE_FAILURE), "final")
+        self.callers.write(self.connection, item, self.lane, "failed")
 
     def over(self, *, cut: bool) -> None:
-        data = binary.release(self.call, RESET if cut else NORMAL)
-        self.hub.release(self.connection, Item(self.call, data, "release"))
+        """Sends the release of a standing call."""
+        data = binary.encode_release(self.call, CAUSE_RESET if cut else CAUSE_NORMAL)
+        self.callers.release(self.connection, CallerMessage(self.call, data, "release"))
 
     def duplicate_id(self) -> None:
-        """No release can tell the two calls apart, so the close is this one's answer."""
-        if self.connection.open.get(self.call) is self:
-            del self.connection.open[self.call]  # its close must not give the other call up
+        """Closes the connection: a release could not tell the two calls apart."""
+        if self.connection.open_set_ups.get(self.call) is self:
+            del self.connection.open_set_ups[self.call]  # the close must not give up the other call
         self.connection.scope.cancel()
 
 
-async def _cancel_on(event: anyio.Event, scope: anyio.CancelScope, raw: socket.socket) -> None:
-    """Ends the accepting on `event`: new connections go to a successor first, if there is one."""
+async def _stop_accepting_on(event: anyio.Event, scope: anyio.CancelScope, raw: socket.socket) -> None:
+    """Cancels `scope` on `event`, after directing new connections to a successor if there is one."""
     await event.wait()
     if steer_away(raw):
         await anyio.sleep(HANDSHAKE_SETTLE_S)
     scope.cancel()
 
 
-def _close(raw: socket.socket) -> list[socket.socket]:
-    """Closes a listening socket with nothing between the last look at its queue and the close: a connection
-    that the kernel has taken in on its behalf would be reset there, unheard. With SO_REUSEPORT, what comes
-    after the close goes to the others listening on the address."""
+def _close_listener(raw: socket.socket) -> list[socket.socket]:
+    """Accepts what is queued on a listening socket, closes the socket and returns the accepted ones.
+
+    Nothing may run between the last accept and the close: the kernel would reset a connection that it
+    queues in between. With SO_REUSEPORT, later connections go to the other listeners on the address."""
     raw.setblocking(False)
     queued = []
     while True:
         try:
             sock, _ = raw.accept()
-        except OSError:  # nothing more queued, or no descriptor for it: the close decides
+        except OSError:  # the queue is empty, or no descriptor is left
             break
         queued.append(sock)
     raw.close()
@@ -96,49 +100,52 @@
 
 
 class Callers:
+    """Serves the connections of all callers."""
+
     def __init__(
         self,
-        classes: tuple[i.CallClass, ...],
+        classes: tuple[interface.CallClass, ...],
         inbox: Inbox,
         counters: Counters,
         log: Log,
-        most: int,
+        max_connections: int,
     ) -> None:
-        self._set_ups = SetUps(classes)
+        self._set_up_parser = SetUpParser(classes)
         self._inbox = inbox
         self._counters = counters
         self._log = log
-        self._room = ConnectionLimits(most, counters)
-        self._waiting: deque[Item] = deque(maxlen=WAITING)
+        self._limits = ConnectionLimits(max_connections, counters)
+        self._pending_releases: deque[CallerMessage] = deque(maxlen=MAX_PENDING_RELEASES)
         self._entering = 0
 
-    def retune(self, classes: tuple[i.CallClass, ...]) -> None:
-        """The classes of settings read again."""
-        self._set_ups.retune(classes, time.time())
+    def replace_classes(self, classes: tuple[interface.CallClass, ...]) -> None:
+        """Uses the call classes of reloaded settings."""
+        self._set_up_parser.replace_classes(classes, time.time())
 
     @property
-    def unwritten(self) -> int:
-        return sum(len(c.outbox) + c.outbox.in_flight for c in self._room.connections)
+    def pending_writes(self) -> int:
+        """Messages to callers that are not known to be written."""
+        return sum(len(c.outbox) + c.outbox.in_flight for c in self._limits.connections)
 
     @property
-    def hearing(self) -> bool:
-        """Some connection is new and has said nothing yet, or a message has begun that is not yet whole. The
-        room's time limits end both."""
-        return any(connection.unheard for connection in self._room.connections)
+    def receiving(self) -> bool:
+        """Whether some connection is new and has sent nothing yet, or has sent an incomplete message. The
+        time limits on connections end both."""
+        return any(connection.awaiting_message for connection in self._limits.connections)
 
     async def listen(self, listener: SocketListener, closing: anyio.Event) -> None:
-        """Accepts until `closing`; neither a connection that is gone again nor a lack of descriptors ends
-        that. Then closes the listener, and serves on what it has taken.
+        """Accepts connections until `closing`, then closes the listener and goes on serving those it has.
 
-        Nothing waits between the kernel's accept and the task that owns the connection: a wait that is
-        cancelled there, as `closing` would, drops a connection whose client was told that it is open."""
+        Neither a connection that is reset before it is accepted nor a lack of descriptors ends the loop.
+        There is no await between the kernel's accept and the start of the task that owns the connection: a
+        cancellation there, as by `closing`, would drop a connection that its client sees as open."""
         raw: socket.socket = listener.extra(SocketAttribute.raw_socket)
         raw.setblocking(False)
-        spread(raw)
+        detach_filter(raw)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._room.watch)
+            tasks.start_soon(self._limits.watch)
             with anyio.CancelScope() as accepting:
-                tasks.start_soon(_cancel_on, closing, accepting, raw)
+                tasks.start_soon(_stop_accepting_on, closing, accepting, raw)
                 while True:
                     await anyio.wait_readable(raw)
                     try:
@@ -152,19 +159,19 @@
                     except OSError as error:
                         self._counters.add("callers.not_accepted")
                         self._log.event("not_accepted", error=error.strerror)
-                        self._room.make()
+                        self._limits.evict_one()
                         await anyio.sleep(0.02)
-            for sock in _close(raw):
+            for sock in _close_listener(raw):
                 self._entering += 1
                 tasks.start_soon(self._serve_accepted, sock)
             self._log.event("not_listening", taken=self._counters["callers.connections"])
 
     async def _serve_accepted(self, sock: socket.socket) -> None:
-        """Also a socket whose client has reset it by now."""
+        """Serves an accepted socket, whose client may have reset it already."""
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             stream = await SocketStream.from_socket(sock)
-        except (OSError, ValueError):  # anyio says ValueError of a socket that is connected no more
+        except (OSError, ValueError):  # anyio raises ValueError for a socket that is no longer connected
             self._counters.add("callers.not_accepted")
             sock.close()
             return
@@ -173,10 +180,10 @@
         await self.serve(stream)
 
     async def serve(self, stream: SocketStream) -> None:
-        """One connection, from its acceptance to its end; no fault of it goes further."""
+        """Serves one connection from its acceptance to its end; contains any fault to it."""
         now = time.time()
-        connection = Connection(stream, now, opened=now)
-        if not self._room.enter(connection):
+        connection = CallerConnection(stream, now, opened_at=now)
+        if not self._limits.add(connection):
             await anyio.aclose_forcefully(stream)
             return
         self._counters.add("callers.connections")
@@ -187,38 +194,39 @@
                     try:
                         await self._read(connection)
                     finally:
-                        connection.abandon()
+                        connection.mark_callers_gone()
                     tasks.cancel_scope.cancel()
         except Exception as error:
             self._counters.add("callers.faults")
             self._log.event("fault", where="caller", error=repr(error))
         finally:
-            self._room.leave(connection)
+            self._limits.remove(connection)
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
             self._closed(connection)
 
-    def _closed(self, connection: Connection) -> None:
-        """What was open on a connection is given up with it; what is over is told on another one."""
+    def _closed(self, connection: CallerConnection) -> None:
+        """Gives up the open set-ups of a connection that has ended; releases not yet written go out on
+        another one."""
         for item in connection.outbox.clear():
             if item.kind == "answer" and item.caller:
-                connection.open[item.call] = item.caller
+                connection.open_set_ups[item.call] = item.caller
             elif item.kind == "release":
                 self.release(connection, item)
-        connection.abandon()
-        for call, caller in connection.open.items():
+        connection.mark_callers_gone()
+        for call, caller in connection.open_set_ups.items():
             self._inbox.put_nowait(CallerGone(call.hex(), caller))
 
-    async def _read(self, connection: Connection) -> None:
+    async def _read(self, connection: CallerConnection) -> None:
         decoder = binary.Decoder()
         while True:
             try:
                 data = await connection.stream.receive()
                 now, count = time.time(), 0
                 for message in decoder.feed(data):
-                    await self._take(connection, message, now)
+                    await self._handle_message(connection, message, now)
                     count += 1
-                    if count % AT_ONCE == 0:
+                    if count % MESSAGES_PER_TURN == 0:
                         await anyio.lowlevel.checkpoint()
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
@@ -227,125 +235,141 @@
                 peer = connection.stream.extra(SocketAttribute.remote_address, None)
                 self._log.event("malformed", peer=str(peer), error=str(error))
                 return
-            if self._too_bad(connection):
+            if self._exceeds_invalid_limit(connection):
                 self._counters.add("callers.too_bad")
                 return
             if not decoder.pending:
-                connection.half_since = None
-            elif count or connection.half_since is None:
-                connection.half_since = now
+                connection.partial_since = None
+            elif count or connection.partial_since is None:
+                connection.partial_since = now
 
     @staticmethod
-    def _too_bad(connection: Connection) -> bool:
-        """So many faulty messages that the connection is closed, once that gives up no set-up of it: those
-        of a class that a reload has dropped are well formed, and came beside set-ups that are owed."""
-        return connection.bad > MAX_BAD and not connection.open
+    def _exceeds_invalid_limit(connection: CallerConnection) -> bool:
+        """Whether the connection has sent too many invalid messages and is to be closed.
 
-    async def _take(self, connection: Connection, message: binary.Message, now: float) -> None:
-        if self._too_bad(connection):
+        Not while a set-up is open on it: a class that a reload has dropped makes well-formed set-ups
+        invalid, and those beside them are still owed an answer."""
+        return connection.invalid_messages > MAX_INVALID_MESSAGES and not connection.open_set_ups
+
+    async def _handle_message(
+        self, connection: CallerConnection, message: binary.Message, now: float
+    ) -> None:
+        if self._exceeds_invalid_limit(connection):
             return
         match message.type:
             case binary.SET_UP:
-                await self._set_up(connection, message, now)
+                await self._handle_set_up(connection, message, now)
             case binary.RELEASE:
                 self._counters.add("callers.releases")
-                self._fits(connection)
-                if caller := connection.open.pop(message.call, None):
+                self._mark_as_caller(connection)
+                if caller := connection.open_set_ups.pop(message.call, None):
                     caller.gone = True
-                self._room.over(message.call)
-                if caller:  # a wait that the end of the connection cuts would lose it
+                self._limits.call_ended(message.call)
+                if (
+                    caller
+                ):  # not awaited: the end of the connection would cancel the wait and lose the message
                     self._inbox.put_nowait(CallerGone(message.call.hex(), caller))
                 else:
                     await self._inbox.put(CallerGone(message.call.hex(), None))
-                heard = binary.Message(binary.HEARD, message.call).encode()
-                self.write(connection, Item(message.call, heard, "free"))
+                confirmation = binary.Message(binary.RELEASE_COMPLETE, message.call).encode()
+                self.write(connection, CallerMessage(message.call, confirmation, "free"))
             case binary.TEST:
                 self._counters.add("callers.tests")
-                passed = binary.Message(binary.TESTED, message.call, {binary.CAUSE: b"\x01"})
-                self.write(connection, Item(message.call, passed.encode(), "free"))
-            case binary.PROGRESS | binary.HEARD | binary.STATE | binary.TESTED:
+                result_message = binary.Message(binary.TEST_RESULT, message.call, {binary.CAUSE: b"\x01"})
+                self.write(connection, CallerMessage(message.call, result_message.encode(), "free"))
+            case binary.PROGRESS | binary.RELEASE_COMPLETE | binary.STATE | binary.TEST_RESULT:
                 pass
             case _:
                 self._counters.add("callers.unknown")
-                connection.bad += 1
-                self.write(connection, Item(message.call, binary.release(message.call, NO_TYPE), "free"))
-        connection.at = now
-
-    async def _set_up(self, connection: Connection, message: binary.Message, now: float) -> None:
+                connection.invalid_messages += 1
+                self.write(
+                    connection,
+                    CallerMessage(
+                        message.call, binary.encode_release(message.call, CAUSE_UNKNOWN_TYPE), "free"
+                    ),
+                )
+        connection.last_activity = now
+
+    async def _handle_set_up(self, connection: CallerConnection, message: binary.Message, now: float) -> None:
         self._counters.add("callers.set_ups")
         try:
-            set_up = self._set_ups.read(message, now)
-        except BadSetUpError as error:
+            set_up = self._set_up_parser.parse(message, now)
+        except InvalidSetUpError as error:
             self._counters.add("callers.bad_set_ups")
-            connection.bad += 1
-            item = Item(message.call, binary.release(message.call, error.cause), "final")
-            lane = self._set_ups.known(message.parameters.get(binary.CLASS, b""), now)
+            connection.invalid_messages += 1
+            item = CallerMessage(message.call, binary.encode_release(message.call, error.cause), "final")
+            lane = self._set_up_parser.known_class(message.parameters.get(binary.CLASS, b""), now)
             self.write(connection, item, lane, "rejected" if error.cause in RETRY_CAUSES else "failed")
             return
         caller = BinaryCaller(self, connection, message.call, set_up.request.class_name.decode())
-        if message.call in connection.open:
+        if message.call in connection.open_set_ups:
             self._counters.add("calls.clashes")
             connection.scope.cancel()
             return
-        connection.open[message.call] = caller
-        self._fits(connection)
+        connection.open_set_ups[message.call] = caller
+        self._mark_as_caller(connection)
         await self._inbox.put(
             Offer(
                 call=message.call.hex(),
                 class_name=set_up.request.class_name.decode(),
                 destination=set_up.destination,
                 number=int.from_bytes(set_up.request.number, "big"),
-                deadline=now + set_up.patience,
+                deadline=now + set_up.time_limit,
                 caller=caller,
                 request=set_up.request,
                 again=set_up.again,
-                called=set_up.request.number.decode(),  # the door let only ASCII through
+                called=set_up.request.number.decode(),  # validated as ASCII
             )
         )
 
-    def _fits(self, connection: Connection) -> None:
-        """It speaks as a caller does: releases that wait for an open connection go out on it."""
-        connection.fit = True
-        while self._waiting:
-            connection.outbox.put(self._waiting.popleft())
+    def _mark_as_caller(self, connection: CallerConnection) -> None:
+        """Notes that a caller's request came here; releases that wait for a connection go out on this one."""
+        connection.is_caller = True
+        while self._pending_releases:
+            connection.outbox.put(self._pending_releases.popleft())
+
+    # Messages to callers
 
-    # Towards the caller
+    def write(
+        self, connection: CallerConnection, item: CallerMessage, lane: str | None = None, result: str = ""
+    ) -> None:
+        """Queues a message on this connection, or drops it if that has ended; a full queue closes the
+        connection.
 
-    def write(self, connection: Connection, item: Item, lane: str | None = None, result: str = "") -> None:
-        """To this connection or to none; one that takes nothing is closed. A final answer that goes out
-        is counted under its class `lane` as `result`."""
+        A final answer is counted under its call class `lane` as `result`."""
         if item.kind in ("answer", "final"):
-            item.caller = connection.open.pop(item.call, None)
+            item.caller = connection.open_set_ups.pop(item.call, None)
         if not connection.alive:
             self._counters.add("callers.unwritten")
         elif not connection.outbox.put(item):
             if item.caller:
-                connection.open[item.call] = item.caller
+                connection.open_set_ups[item.call] = item.caller
             self._counters.add("callers.too_slow")
             connection.scope.cancel()
         else:
             if lane is not None:
                 self._counters.answered(lane, result)
             if item.kind == "answer":
-                self._room.stands(connection, item.call)
+                self._limits.call_stands(connection, item.call)
 
-    def release(self, connection: Connection, item: Item) -> None:
-        self._room.over(item.call)
-        target = connection if connection.alive else self._room.other()
+    def release(self, connection: CallerConnection, item: CallerMessage) -> None:
+        """Queues a release on this connection, on another, or until the next one opens."""
+        self._limits.call_ended(item.call)
+        target = connection if connection.alive else self._limits.release_target()
         if target is None or not target.outbox.put(item):
-            self._waiting.append(item)
+            self._pending_releases.append(item)
 
-    async def _write(self, connection: Connection) -> None:
+    async def _write(self, connection: CallerConnection) -> None:
         while True:
             await connection.outbox.wait()
             items = connection.outbox.take()
             try:
-                with anyio.fail_after(SEND_TIMEOUT):
+                with anyio.fail_after(SEND_TIMEOUT_S):
                     await connection.stream.send(b"".join(item.data for item in items))
             except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                connection.scope.cancel()  # what is in hand is not known to be whole at the caller
+                connection.scope.cancel()  # what was in flight may have reached the caller in part
                 return
             connection.outbox.written()
-            connection.at = time.time()
+            connection.last_activity = time.time()
             for item in items:
                 self._counters.add(f"callers.sent_{item.kind}")
--- a/harepick/net/connection_limits.py
+++ b/harepick/net/connection_limits.py
@@ -1,9 +1,9 @@
-"""Room for the connections of callers: who may stay, and who goes when there is none left.
+"""Limits on the connections of callers: how many there may be, and for how long.
 
-Owns the set of open connections and the time limits on them. A connection with a set-up open stays. Of the
-others the one with the least to lose goes first: one that never said anything, then one with no call, then
-one whose calls stand (those belong to no connection), each time the longest idle.
-"""
+Owns the set of open connections and their time limits. A connection with an open set-up is never closed.
+To make room, the others are closed in this order: those that never sent a valid request, those with no
+call, those whose calls stand (such calls belong to no connection); among equals the longest idle goes
+first."""
 
 from __future__ import annotations
 
@@ -17,115 +17,133 @@
 from harepick.counters import Counters
 from harepick.net.outbox import Outbox
 
-FIRST_WORD = 2.0  # without a byte from the acceptance on: a client is owed a word or a close in 3 s
-HALF = (
-    2.5  # from the acceptance to the first whole message, or for a later one: some callers take 2 s to write
+FIRST_MESSAGE_TIMEOUT_S = (
+    2.0  # without a byte since the acceptance; the platform requires an answer or a close in 3 s
 )
-IDLE = 10.0  # without a call on it; callers close such a connection themselves after 4 s
-CHECK_INTERVAL_S = 0.25  # how often the limits are looked at
+# From the acceptance to the first whole message, or from the first byte of a later one: some callers take 2 s
+# to write a message.
+PARTIAL_MESSAGE_TIMEOUT_S = 2.5
+IDLE_TIMEOUT_S = 10.0  # without a call; callers close such a connection themselves after 4 s
+CHECK_INTERVAL_S = 0.25  # between checks of the time limits
 
 
 @dataclass(slots=True)
-class Item:
-    """A message to a caller."""
+class CallerMessage:
+    """An encoded message to a caller."""
 
     call: bytes
     data: bytes
-    kind: str  # answer, final, release or free
+    kind: str  # answer, final, release or free; part of the counter's name
     caller: Caller | None = None  # whom an answer is for, until it is known to be written
 
 
 @dataclass(eq=False, slots=True)
-class Connection:
+class CallerConnection:
+    """One connection of a caller; times are clock times in seconds."""
+
     stream: SocketStream
-    at: float  # when it last said something whole, or was told something
-    opened: float = 0.0
-    outbox: Outbox[Item] = field(default_factory=Outbox)
-    open: dict[bytes, Caller] = field(default_factory=dict)  # set-ups that wait for their answer
-    standing: set[bytes] = field(default_factory=set)  # calls answered here that still stand
+    last_activity: float  # when the last whole message was received or sent
+    opened_at: float = 0.0
+    outbox: Outbox[CallerMessage] = field(default_factory=Outbox)
+    open_set_ups: dict[bytes, Caller] = field(
+        default_factory=dict
+    )  # set-ups that wait for their answer, by call id
+    standing_calls: set[bytes] = field(default_factory=set)  # calls answered here that still stand
     alive: bool = True
-    fit: bool = False  # it has sent a set-up or a release as it should be
-    heard: bool = False  # a call of it came to stand: no stranger
-    bad: int = 0  # faulty messages
-    half_since: float | None = None  # when a message began that is not yet whole
+    is_caller: bool = False  # has sent a valid set-up or a release
+    had_standing_call: bool = False  # a call answered here came to stand
+    invalid_messages: int = 0
+    partial_since: float | None = None  # when the first byte of an incomplete message came
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     @property
-    def settled(self) -> bool:
-        """Nothing is owed on it: no set-up waits for its answer, and no message for its way out."""
-        return not self.open and not len(self.outbox) and not self.outbox.in_flight
+    def nothing_pending(self) -> bool:
+        """No set-up waits for its answer, and no message waits to be written."""
+        return not self.open_set_ups and not len(self.outbox) and not self.outbox.in_flight
 
     @property
-    def unheard(self) -> bool:
-        """Its client has been told that it is open, and has not said anything whole."""
-        return self.half_since is not None or self.at == self.opened
-
-    def abandon(self) -> None:
-        """It has ended: the core's last look must know now, not once it has heard of it."""
-        for caller in self.open.values():
+    def awaiting_message(self) -> bool:
+        """The connection has been accepted and has brought no whole message, or part of one."""
+        return self.partial_since is not None or self.last_activity == self.opened_at
+
+    def mark_callers_gone(self) -> None:
+        """Marks the callers of the open set-ups as gone, at once: the check before an attempt is sent must
+        not depend on when the core processes the end of the connection."""
+        for caller in self.open_set_ups.values():
             caller.gone = True
 
 
 class ConnectionLimits:
-    def __init__(self, most: int, counters: Counters) -> None:
-        self._most = most
+    """The open caller connections, bounded in number and by time limits."""
+
+    def __init__(self, max_connections: int, counters: Counters) -> None:
+        self._max_connections = max_connections
         self._counters = counters
-        self.connections: set[Connection] = set()
-        self._standing: dict[bytes, Connection] = {}
+        self.connections: set[CallerConnection] = set()
+        self._connection_of_call: dict[bytes, CallerConnection] = {}
 
-    def enter(self, connection: Connection) -> bool:
-        """False: every connection has a set-up open, and there is no room for another."""
-        if len(self.connections) >= self._most and not self.make():
+    def add(self, connection: CallerConnection) -> bool:
+        """Adds a connection, evicting another at the bound; returns False if every connection is in use."""
+        if len(self.connections) >= self._max_connections and not self.evict_one():
             self._counters.add("callers.turned_away")
             return False
         self.connections.add(connection)
         return True
 
-    def make(self) -> bool:
-        """Closes the connection with the least to lose; False if none may be closed."""
-        loose = [c for c in self.connections if c.settled]
-        if not loose:
+    def evict_one(self) -> bool:
+        """Closes the connection that is least in use; returns False if none may be closed."""
+        candidates = [c for c in self.connections if c.nothing_pending]
+        if not candidates:
             return False
-        self._close(min(loose, key=lambda c: (c.fit, bool(c.standing), c.at)), "made_room")
+        self._close(
+            min(candidates, key=lambda c: (c.is_caller, bool(c.standing_calls), c.last_activity)), "made_room"
+        )
         return True
 
-    def leave(self, connection: Connection) -> None:
+    def remove(self, connection: CallerConnection) -> None:
+        """Removes a connection that has ended."""
         connection.alive = False
         self.connections.discard(connection)
-        for call in connection.standing:
-            self._standing.pop(call, None)
-        connection.standing.clear()
-
-    def stands(self, connection: Connection, call: bytes) -> None:
-        connection.heard = True
-        connection.standing.add(call)
-        self._standing[call] = connection
-
-    def over(self, call: bytes) -> None:
-        if connection := self._standing.pop(call, None):
-            connection.standing.discard(call)
-
-    def other(self) -> Connection | None:
-        """Where the release of a call goes whose own connection has closed: not to a stranger."""
-        fit = [c for c in self.connections if c.fit]
-        return max(fit, key=lambda c: (c.heard, c.at), default=None)
+        for call in connection.standing_calls:
+            self._connection_of_call.pop(call, None)
+        connection.standing_calls.clear()
+
+    def call_stands(self, connection: CallerConnection, call: bytes) -> None:
+        """Records that a call answered on this connection stands."""
+        connection.had_standing_call = True
+        connection.standing_calls.add(call)
+        self._connection_of_call[call] = connection
+
+    def call_ended(self, call: bytes) -> None:
+        """Records that a call no longer stands."""
+        if connection := self._connection_of_call.pop(call, None):
+            connection.standing_calls.discard(call)
+
+    def release_target(self) -> CallerConnection | None:
+        """Returns the connection for the release of a call whose own one has closed; None without one that
+        has proved to be a caller's."""
+        callers = [c for c in self.connections if c.is_caller]
+        return max(callers, key=lambda c: (c.had_standing_call, c.last_activity), default=None)
 
     async def watch(self) -> None:
-        """Closes what outstays its time: silent, half-said and idle connections."""
+        """Closes silent, stalled and idle connections, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
             now = time.time()
-            for connection in [c for c in self.connections if c.settled]:
-                half = connection.half_since
-                if half is not None:  # a message begun has its own time, wherever it began
-                    if now - (half if connection.fit else connection.opened) > HALF:
+            for connection in [c for c in self.connections if c.nothing_pending]:
+                partial_since = connection.partial_since
+                if partial_since is not None:  # an incomplete message has a time limit of its own
+                    if (
+                        now - (partial_since if connection.is_caller else connection.opened_at)
+                        > PARTIAL_MESSAGE_TIMEOUT_S
+                    ):
                         self._close(connection, "half_said")
-                elif not connection.fit and now - connection.at > FIRST_WORD:
+                elif not connection.is_caller and now - connection.last_activity > FIRST_MESSAGE_TIMEOUT_S:
                     self._close(connection, "silent")
-                elif not connection.standing and now - connection.at > IDLE:
+                elif not connection.standing_calls and now - connection.last_activity > IDLE_TIMEOUT_S:
                     self._close(connection, "idle")
 
-    def _close(self, connection: Connection, why: str) -> None:
-        self._counters.add(f"callers.{why}")
-        self.connections.discard(connection)  # its task ends in its own time; the room is there at once
+    def _close(self, connection: CallerConnection, reason: str) -> None:
+        self._counters.add(f"callers.{reason}")
+        self.connections.discard(connection)  # at once, as its task ends only later
         connection.scope.cancel()
--- a/harepick/net/connection_pool.py
+++ b/harepick/net/connection_pool.py
@@ -1,11 +1,10 @@
-"""All that goes to one setup server: its lines, and the calls that stand there.
+"""The connections to one setup server, and the calls that stand there.
 
-Owns the choice of line for every order, and the evidence of a server's death. A set-up goes out on a line
-with nothing else open where there is one: an answer that is spoilt or never comes takes its line along, with
-all that is open there. A call that stands belongs to no line, so that one is opened again at once to hear of
-its end. Only a server that takes no new connection has died: peers reset connections of processes that live
-on.
-"""
+Owns the choice of a connection for every order, and the evidence that a server has died. A set-up goes out
+on a connection with nothing else open where there is one: a connection with a malformed or missing answer
+is closed, and all that is open on it is lost. A standing call belongs to no connection, so a closed one is
+opened again at once to learn of the call's end. A server counts as dead only if it accepts no new
+connection: peers also reset connections of processes that live on."""
 
 from __future__ import annotations
 
@@ -17,39 +16,37 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.inbox import Inbox
 from harepick.core.messages import Attempt, AttemptOver, ServerDied
 from harepick.counters import Counters
 from harepick.directory import Directory
 from harepick.log import Log
-from harepick.net.server_connection import Bye, Cancel, Item, ServerConnection
+from harepick.net.server_connection import ByeOrder, CancelOrder, Order, ServerConnection
 from harepick.settings import Address
 
-DIALOGS = 16_384  # calls kept for the releases to come
-UNSENT = 1_024  # releases kept for the next line
-LINES = 8  # with this many, set-ups share one
-MAX_LINES = 16  # those that have gone quiet included
-SPARE = 3.0  # a line with nothing open is kept for so long beside others
-SERVER_SILENCE_S = (
-    2.0  # with something open, a server that says nothing for so long may not be there any more
-)
-FAILURE_CONFIRM_S = 0.2  # two connections failed so far apart, or further, are no chance
-FLAPS = 5  # lines in a row that ended before they brought anything: then what waits is given up
-CHECK_INTERVAL_S = 0.1  # how often all this is looked at
+MAX_DIALOGS = 16_384  # standing calls remembered for their release
+MAX_UNSENT_RELEASES = 1_024  # releases kept for the next connection
+MAX_RESPONSIVE_CONNECTIONS = 8  # at this number, set-ups share a connection
+MAX_CONNECTIONS = 16  # quiet ones included
+SPARE_CONNECTION_KEEP_S = 3.0  # how long an unused connection beside others is kept
+SERVER_SILENCE_S = 2.0  # with something open, a server silent for this long may have vanished
+FAILURE_CONFIRM_S = 0.2  # two failed connections at least this far apart are no coincidence
+MAX_FLAPS = 5  # connections in a row that ended before they received anything; then the orders are given up
+CHECK_INTERVAL_S = 0.1  # between checks of the connections
 
 
 @dataclass(slots=True)
 class Dialog:
-    """A call that stands."""
+    """A standing call."""
 
     number: bytes
     since: float
-    line: ServerConnection  # of its set-up: its end is told there, if that one is still open
+    connection: ServerConnection  # of its set-up: its end is reported there, if that is still open
 
 
-class Port(Protocol):
-    """What a link needs of its owner."""
+class PoolOwner(Protocol):
+    """What a pool needs of its owner; times in seconds."""
 
     inbox: Inbox
     counters: Counters
@@ -58,196 +55,228 @@
     idle_close: float
 
     @property
-    def room(self) -> bool:
-        """Whether a server that has a line may have another."""
+    def may_connect(self) -> bool:
+        """Whether a server that has a connection may have another."""
 
 
 class ConnectionPool:
-    def __init__(self, port: Port, tasks: TaskGroup, server: str, where: Address) -> None:
-        self.port = port
+    """All connections to one setup server."""
+
+    def __init__(self, owner: PoolOwner, tasks: TaskGroup, server: str, address: Address) -> None:
+        self.owner = owner
         self.server = server
-        self.address = where
+        self.address = address
         self.standing: OrderedDict[str, Dialog] = OrderedDict()
-        self.heard = time.time()  # when anything but a refusal last came from the server
-        self.answered = 0.0  # when the latest set-up answered so far was sent
+        self.last_heard = time.time()  # when anything but a refusal last came from the server
+        self.latest_answered_sent_at = 0.0  # when the latest of the set-ups answered so far was sent
         self.retired = False
         self._tasks = tasks
-        self._lines: list[ServerConnection] = []  # oldest first
-        self._unsent: list[Bye] = []
-        self._failed = 0.0  # when a connection first failed since the server last spoke
-        self._again = 0.0  # when to connect again for the calls that stand
-        self._flaps = 0
+        self._connections: list[ServerConnection] = []  # oldest first
+        self._unsent_releases: list[ByeOrder] = []
+        self._first_failure_at = 0.0  # of a connection, since the server was last heard
+        self._reconnect_at = 0.0  # when to connect again for the standing calls
+        self._consecutive_flaps = 0
         self._scope = anyio.CancelScope()
 
     @property
-    def lines(self) -> int:
-        return len(self._lines)
+    def connection_count(self) -> int:
+        """Connections, those being opened included."""
+        return len(self._connections)
 
     @property
     def backlog(self) -> int:
-        return sum(len(line.outbox) + line.outbox.in_flight for line in self._lines if line.up)
+        """Orders not known to be written."""
+        return sum(
+            len(connection.outbox) + connection.outbox.in_flight
+            for connection in self._connections
+            if connection.connected
+        )
 
     # Orders
 
     def place(self, attempt: Attempt) -> bool:
-        """False: what waits for this server is too much already."""
-        return self._give(attempt)
+        """Queues a set-up; returns False if too much is queued for this server already."""
+        return self._enqueue(attempt)
 
     def cancel(self, attempt: Attempt) -> bool:
-        """False: the attempt is open on no line."""
-        for line in self._lines:
-            if line.open.get(attempt.call) is attempt:
-                if not line.outbox.put(Cancel(attempt)):
-                    line.close("too_slow")  # it is given up with its line: while that lives, it is out
+        """Cancels an attempt; returns False if it is open on no connection."""
+        for connection in self._connections:
+            if connection.open_attempts.get(attempt.call) is attempt:
+                if not connection.outbox.put(CancelOrder(attempt)):
+                    # The attempt is given up with its connection, and is open until then.
+                    connection.close("too_slow")
                 return True
         return False
 
     def release(self, call: str) -> bool:
-        return self._give(Bye(call))
+        """Queues the release of a call; returns False if too much is queued."""
+        return self._enqueue(ByeOrder(call))
 
-    def _give(self, item: Item) -> bool:
+    def _enqueue(self, item: Order) -> bool:
         now = time.time()
-        sound = [line for line in self._lines if not line.quiet(now)]
-        free = [line for line in sound if not line.load]
+        responsive = [connection for connection in self._connections if not connection.is_quiet(now)]
+        free = [connection for connection in responsive if not connection.load]
         if free:
-            return max(free, key=lambda line: line.heard).outbox.put(item)
-        if isinstance(item, Bye) and sound:
-            return min(sound, key=lambda line: line.load).outbox.put(item)
-        more = len(sound) < LINES and len(self._lines) < MAX_LINES and self.port.room
-        if more or not self._lines:
-            self._open(item)
+            return max(free, key=lambda connection: connection.last_heard).outbox.put(item)
+        if isinstance(item, ByeOrder) and responsive:
+            return min(responsive, key=lambda connection: connection.load).outbox.put(item)
+        may_open = (
+            len(responsive) < MAX_RESPONSIVE_CONNECTIONS
+            and len(self._connections) < MAX_CONNECTIONS
+            and self.owner.may_connect
+        )
+        if may_open or not self._connections:
+            self._open_connection(item)
             return True
-        return min(sound or self._lines, key=lambda line: line.load).outbox.put(item)
-
-    def _open(self, *orders: Item) -> None:
-        line = ServerConnection(self, orders)
-        self._lines.append(line)
-        self._tasks.start_soon(line.run)
-
-    # What lines tell
-
-    def came_up(self, line: ServerConnection) -> None:
-        for bye in self._unsent:
-            line.outbox.put(bye)
-        self._unsent.clear()
-
-    def stands(self, call: str, number: bytes, line: ServerConnection) -> None:
-        self.over(call)
-        self.standing[call] = Dialog(number, time.time(), line)
-        line.calls += 1
-        if len(self.standing) > DIALOGS:
-            self.over(next(iter(self.standing)))
-
-    def over(self, call: str) -> Dialog | None:
-        """A call no longer stands; None if it did not."""
+        return min(responsive or self._connections, key=lambda connection: connection.load).outbox.put(item)
+
+    def _open_connection(self, *orders: Order) -> None:
+        connection = ServerConnection(self, orders)
+        self._connections.append(connection)
+        self._tasks.start_soon(connection.run)
+
+    # Events of connections
+
+    def connection_opened(self, connection: ServerConnection) -> None:
+        """A connection is open: the releases kept for it are queued there."""
+        for bye in self._unsent_releases:
+            connection.outbox.put(bye)
+        self._unsent_releases.clear()
+
+    def call_stands(self, call: str, number: bytes, connection: ServerConnection) -> None:
+        """A call set up on this connection stands."""
+        self.end_call(call)
+        self.standing[call] = Dialog(number, time.time(), connection)
+        connection.standing_calls += 1
+        if len(self.standing) > MAX_DIALOGS:
+            self.end_call(next(iter(self.standing)))
+
+    def end_call(self, call: str) -> Dialog | None:
+        """Removes a standing call and returns its dialog; None if it did not stand."""
         if dialog := self.standing.pop(call, None):
-            dialog.line.calls -= 1
+            dialog.connection.standing_calls -= 1
         return dialog
 
-    def ended(self, line: ServerConnection) -> None:
-        """What was open on it is given up with it; what had not left goes on another, if one comes up."""
-        self._lines.remove(line)
-        tell = self.port.inbox.put_nowait
-        if line.up:
-            counts = {"open": len(line.open), "standing": len(self.standing), "lines": len(self._lines)}
-            self.port.log.event("closed", server=self.server, **counts)
-        for attempt in line.open.values():
-            tell(AttemptOver(attempt, i.Outcome.RESET))
-        self._flaps = 0 if line.spoke else self._flaps + 1
-        for item in line.outbox.clear():
-            if isinstance(item, Cancel):
-                tell(AttemptOver(item.attempt, i.Outcome.CANCELLED))
-            elif isinstance(item, Bye):
-                self._keep(item)
+    def connection_ended(self, connection: ServerConnection) -> None:
+        """A connection has ended: the set-ups open on it are given up, and those not yet sent go to
+        another one if there is any."""
+        self._connections.remove(connection)
+        report = self.owner.inbox.put_nowait
+        if connection.connected:
+            counts = {
+                "open": len(connection.open_attempts),
+                "standing": len(self.standing),
+                "lines": len(self._connections),
+            }
+            self.owner.log.event("closed", server=self.server, **counts)
+        for attempt in connection.open_attempts.values():
+            report(AttemptOver(attempt, interface.Outcome.RESET))
+        self._consecutive_flaps = 0 if connection.received_data else self._consecutive_flaps + 1
+        for item in connection.outbox.clear():
+            if isinstance(item, CancelOrder):
+                report(AttemptOver(item.attempt, interface.Outcome.CANCELLED))
+            elif isinstance(item, ByeOrder):
+                self._keep_release(item)
             elif isinstance(item, Attempt) and item.sent is None and not item.ended:
-                others = [other for other in self._lines if other.up]
+                others = [other for other in self._connections if other.connected]
                 if others and not self.retired:
                     min(others, key=lambda other: other.load).outbox.put(item)
-                elif line.up and not self.retired and self._flaps < FLAPS:
-                    self._open(item)
+                elif connection.connected and not self.retired and self._consecutive_flaps < MAX_FLAPS:
+                    self._open_connection(item)
                 else:
-                    tell(AttemptOver(item, i.Outcome.UNREACHED))
-        if not line.up and not self.retired and not line.starved:
-            self._failure()
+                    report(AttemptOver(item, interface.Outcome.UNREACHED))
+        if not connection.connected and not self.retired and not connection.failed_locally:
+            self._connection_failed()
 
-    def _keep(self, bye: Bye) -> None:
-        if len(self._unsent) < UNSENT:
-            self._unsent.append(bye)
+    def _keep_release(self, bye: ByeOrder) -> None:
+        if len(self._unsent_releases) < MAX_UNSENT_RELEASES:
+            self._unsent_releases.append(bye)
         else:
-            self.port.counters.add("servers.releases_lost")
+            self.owner.counters.add("servers.releases_lost")
+
+    # Liveness of the server
 
-    # Life and death of the server
+    def _connection_failed(self) -> None:
+        """Handles a connection that could not be opened.
 
-    def _failure(self) -> None:
-        """A connection did not come up: proof that nothing ran of what waited for it. Twice, while nothing
-        else speaks for the server, it proves that the server has died, and that its calls are cut."""
+        Nothing queued for it has run. Two such failures with no other sign of life prove that the server
+        has died and that its calls are cut."""
         now = time.time()
-        if any(line.up for line in self._lines) and now - self.heard < SERVER_SILENCE_S:
-            return  # it may take no more connections, but it lives
-        # Counted since it last spoke: the kernel of a machine whose processes are gone may still take a few
-        # connections, so that one that comes up proves nothing.
-        first = self._failed <= self.heard
-        if first or now - self._failed < FAILURE_CONFIRM_S:
-            self._failed = now if first else self._failed
-            self._again = now + FAILURE_CONFIRM_S
+        if (
+            any(connection.connected for connection in self._connections)
+            and now - self.last_heard < SERVER_SILENCE_S
+        ):
+            return  # the server accepts no more connections, but is alive
+        # Counted since the server was last heard: the kernel of a machine whose processes are gone may
+        # still accept a few connections, so that an opened connection proves nothing.
+        first = self._first_failure_at <= self.last_heard
+        if first or now - self._first_failure_at < FAILURE_CONFIRM_S:
+            self._first_failure_at = now if first else self._first_failure_at
+            self._reconnect_at = now + FAILURE_CONFIRM_S
             return
         if self.standing:
-            self.port.counters.add("servers.died")
-            self.port.log.event("died", server=self.server, standing=len(self.standing))
+            self.owner.counters.add("servers.died")
+            self.owner.log.event("died", server=self.server, standing=len(self.standing))
         self.standing.clear()
-        self._unsent.clear()
-        self._failed = 0.0
-        for line in self._lines:
-            line.scope.cancel()
-        self.port.inbox.put_nowait(ServerDied(self.server, now))
-
-    def listed(self, row: i.ServerEntry, directory: Directory) -> None:
-        """What the list tells of this server; the core cuts its calls itself."""
-        known = directory.get(row.server)
-        if row.state == "gone":
+        self._unsent_releases.clear()
+        self._first_failure_at = 0.0
+        for connection in self._connections:
+            connection.scope.cancel()
+        self.owner.inbox.put_nowait(ServerDied(self.server, now))
+
+    def update_from_list(self, entry: interface.ServerEntry, directory: Directory) -> None:
+        """Follows the server list's entry of this server; the core ends its calls itself."""
+        record = directory.get(entry.server)
+        if entry.state == "gone":
             self.standing.clear()
             self.retired = True
             self._scope.cancel()
-            for line in self._lines:
-                line.scope.cancel()
-        elif known and known.address != self.address:
-            self.address = known.address
-            for line in self._lines:
-                line.close("moved")
-        elif row.started > 0:  # the process behind older lines is another one
-            for call in [c for c, dialog in self.standing.items() if dialog.since < row.started]:
-                self.over(call)
-            for line in self._lines:
-                if 0 < line.heard < row.started:
-                    line.close("half_open")
+            for connection in self._connections:
+                connection.scope.cancel()
+        elif record and record.address != self.address:
+            self.address = record.address
+            for connection in self._connections:
+                connection.close("moved")
+        elif entry.started > 0:  # a restart: older connections lead to the process before
+            for call in [c for c, dialog in self.standing.items() if dialog.since < entry.started]:
+                self.end_call(call)
+            for connection in self._connections:
+                if 0 < connection.last_heard < entry.started:
+                    connection.close("half_open")
 
     async def watch(self) -> None:
-        """Looks after the lines until the server is gone."""
+        """Checks the connections until the server is gone."""
         with self._scope:
             while True:
                 await anyio.sleep(CHECK_INTERVAL_S)
-                self._look(time.time())
-
-    def _look(self, now: float) -> None:
-        for line in list(self._lines):
-            if line.dead(now, self.answered):
-                line.close("dead_lines")
-            elif line.spare and now - line.heard > SPARE and len(self._lines) > 1:
-                line.close("spare_lines")
-                return  # one at a time: the last stays
-        if not self._lines:
-            if (self.standing or self._unsent) and now >= self._again:
-                self._again = now + FAILURE_CONFIRM_S
-                self._open()
-        elif self._busy and now - self.heard >= SERVER_SILENCE_S and now >= self._again:
-            # A machine that has vanished says nothing, resets nothing and takes no new connection. Its calls
-            # are over, and their callers must be told within 8 s: only a new connection shows it.
-            self._again = now + (SERVER_SILENCE_S if self._failed <= self.heard else FAILURE_CONFIRM_S)
-            if len(self._lines) >= MAX_LINES or not self.port.room:
-                self._lines[0].close("spare_lines")  # silent like the others
-            self.port.counters.add("servers.checks")
-            self._open()
+                self._check(time.time())
+
+    def _check(self, now: float) -> None:
+        for connection in list(self._connections):
+            if connection.is_dead(now, self.latest_answered_sent_at):
+                connection.close("dead_lines")
+            elif (
+                connection.unused
+                and now - connection.last_heard > SPARE_CONNECTION_KEEP_S
+                and len(self._connections) > 1
+            ):
+                connection.close("spare_lines")
+                return  # one at a time, so that the last one is kept
+        if not self._connections:
+            if (self.standing or self._unsent_releases) and now >= self._reconnect_at:
+                self._reconnect_at = now + FAILURE_CONFIRM_S
+                self._open_connection()
+        elif self._has_work and now - self.last_heard >= SERVER_SILENCE_S and now >= self._reconnect_at:
+            # A vanished machine sends nothing, resets nothing and accepts no new connection. Its calls are
+            # over, and their callers must be told within 8 s: only an attempt to connect shows it.
+            self._reconnect_at = now + (
+                SERVER_SILENCE_S if self._first_failure_at <= self.last_heard else FAILURE_CONFIRM_S
+            )
+            if len(self._connections) >= MAX_CONNECTIONS or not self.owner.may_connect:
+                self._connections[0].close("spare_lines")  # all of them are silent
+            self.owner.counters.add("servers.checks")
+            self._open_connection()
 
     @property
-    def _busy(self) -> bool:
-        return bool(self.standing) or any(line.load for line in self._lines)
+    def _has_work(self) -> bool:
+        return bool(self.standing) or any(connection.load for connection in self._connections)
--- a/harepick/net/outbox.py
+++ b/harepick/net/outbox.py
@@ -1,4 +1,4 @@
-"""What waits to be written to one connection: bounded, so that a slow peer costs nobody else."""
+"""A bounded queue of what is to be written to one connection, so that a slow peer affects only itself."""
 
 from __future__ import annotations
 
@@ -9,57 +9,61 @@
 import anyio
 
 Item = TypeVar("Item")
-ROOM = 2_048
+DEFAULT_CAPACITY = 2_048
 
 
 class Outbox(Generic[Item]):
-    """Items are taken in hand by the one that writes them and stay in here until they are `written`: a
-    connection that ends in the middle of a write still owes what was in hand."""
+    """A bounded write queue.
 
-    def __init__(self, room: int = ROOM) -> None:
+    The writer takes items out with `take` and confirms them with `written`; until then they are in flight
+    and still belong to the outbox. A connection that ends in the middle of a write therefore still owes
+    the items in flight."""
+
+    def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self._items: deque[Item] = deque()
-        self._in_hand: list[Item] = []
-        self._room = room
-        self._some = anyio.Event()
+        self._in_flight: list[Item] = []
+        self._capacity = capacity
+        self._not_empty = anyio.Event()
 
     def put(self, item: Item) -> bool:
-        """False: full, the peer does not read."""
-        if len(self._items) >= self._room:
+        """Appends an item; returns False if the outbox is full, that is, if the peer does not read."""
+        if len(self._items) >= self._capacity:
             return False
         self._items.append(item)
-        self._some.set()
+        self._not_empty.set()
         return True
 
     async def wait(self) -> None:
-        """Returns once something is there."""
+        """Returns once an item is queued."""
         while not self._items:
-            self._some = anyio.Event()
-            await self._some.wait()
+            self._not_empty = anyio.Event()
+            await self._not_empty.wait()
 
     def take(self) -> list[Item]:
-        """Everything that waits, in hand until `written`."""
-        self._in_hand = list(self._items)
+        """Returns all queued items; they stay in flight until `written`."""
+        self._in_flight = list(self._items)
         self._items.clear()
-        return self._in_hand
+        return self._in_flight
 
     def written(self) -> None:
-        """What was in hand has gone."""
-        self._in_hand = []
+        """Confirms that the items in flight were written."""
+        self._in_flight = []
 
     @property
     def in_flight(self) -> int:
-        return len(self._in_hand)
+        """Number of items taken and not yet confirmed."""
+        return len(self._in_flight)
 
     def clear(self) -> list[Item]:
-        """All that is not known to have gone, in order; nothing is left."""
-        items = [*self._in_hand, *self._items]
+        """Empties the outbox; returns all items not confirmed as written, in order."""
+        items = [*self._in_flight, *self._items]
         self._items.clear()
-        self._in_hand = []
+        self._in_flight = []
         return items
 
-    def any(self, what: Callable[[Item], bool]) -> bool:
-        """Whether such an item waits."""
-        return any(what(item) for item in self._items)
+    def any(self, predicate: Callable[[Item], bool]) -> bool:
+        """Returns whether any queued item satisfies the predicate."""
+        return any(predicate(item) for item in self._items)
 
     def __len__(self) -> int:
         return len(self._items)
--- a/harepick/net/server_connection.py
+++ b/harepick/net/server_connection.py
@@ -1,8 +1,7 @@
-"""One connection to a setup server, from the attempt to open it to its end; it is used once.
+"""One connection to a setup server, from connecting to its end; it is not reused.
 
-Owns its stream, the orders that wait for it and the set-ups open on it: those are given up with it. What it
-hears goes to its link and to the core.
-"""
+Owns its stream, the orders queued for it and the set-ups open on it, which are given up with it. Reports
+what it receives to its connection pool and to the core."""
 
 from __future__ import annotations
 
@@ -17,7 +16,7 @@
 import anyio.lowlevel
 from anyio.abc import SocketStream
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.messages import Answered, Attempt, AttemptOver, CallOver, ControllerEvent, Message
 from harepick.net import sip
 from harepick.net.outbox import Outbox
@@ -26,108 +25,132 @@
 if TYPE_CHECKING:
     from harepick.net.connection_pool import ConnectionPool
 
-NOTES = {"group_full": 1, "tandem_refused": 2, "processor_full": 3, "user_busy": 4, "destination_full": 18}
-OUTCOMES = {
-    503: i.Outcome.FULL,
-    486: i.Outcome.ERROR,
-    500: i.Outcome.ERROR,
-    480: i.Outcome.MOOT,
-    504: i.Outcome.RESET,
+# Causes of the controller, by the Warning-Word header of a refusal.
+CAUSE_BY_WARNING = {
+    "group_full": 1,
+    "tandem_refused": 2,
+    "processor_full": 3,
+    "user_busy": 4,
+    "destination_full": 18,
 }
-CSEQ = 1  # of every INVITE; a release has the next
-CUT = 41  # cause of a release for a call that was cut; 16 is its common end
-SEND_TIMEOUT = 2.0  # a server that takes nothing for so long has its connection closed
-OWN_LACK = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-CROSSINGS = 4_096  # set-ups given up whose answer may still come
-STALL = 0.25  # a message begun and not finished in this time will not be
-QUIET = 0.25  # with a set-up open, a line that says nothing for so long may have gone dead
-LAG = 0.02  # between a decision and its bytes; a client that has left is owed no attempt 0.1 s later
-TURNS = 3  # of the loop: the sockets are read, their readers run, and what they say is marked
-OVERTAKEN = 0.1  # it has, if the server has meanwhile answered what it was sent so much later
+OUTCOME_BY_STATUS = {
+    503: interface.Outcome.FULL,
+    486: interface.Outcome.ERROR,
+    500: interface.Outcome.ERROR,
+    480: interface.Outcome.MOOT,
+    504: interface.Outcome.RESET,
+}
+INVITE_CSEQ = 1  # of every INVITE; a BYE has the next number
+CAUSE_CUT = 41  # Q.850 cause in the BYE of a call that was cut; 16 is normal clearing
+SEND_TIMEOUT_S = 2.0  # a server that reads nothing for this long has its connection closed
+# Failures to connect that lie on this side.
+LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+MAX_CANCELLED = 4_096  # cancelled set-ups whose answer may still come
+PARTIAL_MESSAGE_TIMEOUT_S = 0.25  # a message not completed in this time is taken for cut off
+QUIET_AFTER_S = 0.25  # with a set-up open, silence for this long may mean that the connection is dead
+MAX_SEND_DELAY_S = 0.02  # from decision to send; no attempt may be sent 0.1 s after its client left
+EVENT_LOOP_TURNS = 3  # enough to poll the sockets, run their readers and mark callers as gone
+OVERTAKEN_AFTER_S = 0.1  # dead, if a set-up sent this much later has been answered elsewhere
 
 
 @dataclass(slots=True)
-class Cancel:
+class CancelOrder:
+    """Order to cancel an attempt that is out."""
+
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class Bye:
+class ByeOrder:
+    """Order to release a call that stands."""
+
     call: str
-    number: bytes = b""  # once it has left, or tried to: the dialog is over by then
+    number: bytes = b""  # set once it is sent or was to be: the dialog has ended by then
 
 
-Item = Attempt | Cancel | Bye | bytes
+# What is queued for the connection; bytes are responses and acknowledgements.
+Order = Attempt | CancelOrder | ByeOrder | bytes
 
 
 class ServerConnection:
-    def __init__(self, link: ConnectionPool, orders: Iterable[Item] = ()) -> None:
-        self._link = link
-        self._count = link.port.counters.add
-        self.outbox: Outbox[Item] = Outbox()
-        self.open: dict[str, Attempt] = {}  # oldest first
-        self._crossing: OrderedDict[str, bytes] = OrderedDict()  # given up here -> number called
-        self.calls = 0  # that were set up here and stand
-        self.up = False
-        self.spoke = False
-        self.starved = False  # it did not come up for a lack of our own, which tells nothing of the server
-        self.heard = 0.0  # when it last said anything, or came up
+    """One connection of a pool; times are clock times in seconds."""
+
+    def __init__(self, pool: ConnectionPool, orders: Iterable[Order] = ()) -> None:
+        self._pool = pool
+        self._count = pool.owner.counters.add
+        self.outbox: Outbox[Order] = Outbox()
+        self.open_attempts: dict[str, Attempt] = {}  # oldest first
+        self._cancelled: OrderedDict[str, bytes] = OrderedDict()  # call -> number called
+        self.standing_calls = 0  # calls set up here that stand
+        self.connected = False
+        self.received_data = False
+        self.failed_locally = False  # for lack of local resources, which says nothing of the server
+        self.last_heard = 0.0  # when it last received anything, or was opened
         self.scope = anyio.CancelScope()
         for item in orders:
             self.outbox.put(item)
 
     @property
     def load(self) -> int:
-        return len(self.open) + len(self.outbox)
+        """Set-ups open here and orders queued."""
+        return len(self.open_attempts) + len(self.outbox)
 
     @property
-    def spare(self) -> bool:
-        """Nothing is lost with it. A server says the end of a call on the line of its set-up: what is on its
-        way when we close that line never comes."""
-        return self.up and not self.load and not self.outbox.in_flight and not self.calls
-
-    def quiet(self, now: float) -> bool:
-        """What is open on it has gone without a word for some time: the server is slow, or the line dead."""
-        first = next(iter(self.open.values()), None)
-        return first is not None and now - max(self.heard, first.sent or 0.0) > QUIET
-
-    def dead(self, now: float, answered: float) -> bool:
-        """The server takes set-ups in turn, and answered on other lines what it was sent after these."""
-        first = next(iter(self.open.values()), None)
-        return first is not None and self.quiet(now) and (first.sent or now) + OVERTAKEN < answered
-
-    def close(self, why: str) -> None:
-        self._count(f"servers.{why}")
+    def unused(self) -> bool:
+        """Whether nothing is lost if it is closed.
+
+        A server reports the end of a call on the connection of its set-up: what is on its way when that is
+        closed never arrives."""
+        return self.connected and not self.load and not self.outbox.in_flight and not self.standing_calls
+
+    def is_quiet(self, now: float) -> bool:
+        """Whether nothing has come for some time with a set-up open: the server is slow, or the connection
+        dead."""
+        first = next(iter(self.open_attempts.values()), None)
+        return first is not None and now - max(self.last_heard, first.sent or 0.0) > QUIET_AFTER_S
+
+    def is_dead(self, now: float, answered: float) -> bool:
+        """Whether the server has passed over the oldest set-up open here.
+
+        Servers handle set-ups in order; `answered` is when the latest set-up that the server has answered
+        on any connection was sent."""
+        first = next(iter(self.open_attempts.values()), None)
+        return first is not None and self.is_quiet(now) and (first.sent or now) + OVERTAKEN_AFTER_S < answered
+
+    def close(self, reason: str) -> None:
+        """Closes the connection and counts it under `reason`."""
+        self._count(f"servers.{reason}")
         self.scope.cancel()
 
     async def run(self) -> None:
-        """No fault of one connection goes further."""
+        """Connects and serves until the end; contains any fault to this connection."""
         try:
             with self.scope:
                 if stream := await self._connect():
                     await self._serve(stream)
         except Exception as error:
             self._count("servers.faults")
-            self._link.port.log.event("fault", where=self._link.server, error=repr(error))
+            self._pool.owner.log.event("fault", where=self._pool.server, error=repr(error))
         finally:
-            self._link.ended(self)
+            self._pool.connection_ended(self)
 
     async def _connect(self) -> SocketStream | None:
-        where = self._link.address
+        """Connects; returns None after a failure, which is logged."""
+        address = self._pool.address
         try:
-            with anyio.fail_after(self._link.port.connect_timeout):
-                stream = await anyio.connect_tcp(where.host, where.port)
+            with anyio.fail_after(self._pool.owner.connect_timeout):
+                stream = await anyio.connect_tcp(address.host, address.port)
         except (OSError, TimeoutError) as error:
             self._count("servers.unreached")
             name = type(error).__name__
-            self._link.port.log.event("unreached", server=self._link.server, error=name)
-            said = error.__cause__ or error  # anyio wraps what the system said
-            self.starved = isinstance(said, OSError) and said.errno in OWN_LACK
+            self._pool.owner.log.event("unreached", server=self._pool.server, error=name)
+            os_error = error.__cause__ or error  # anyio wraps the system's error
+            self.failed_locally = isinstance(os_error, OSError) and os_error.errno in LOCAL_RESOURCE_ERRORS
             return None
-        self.up = True
-        self.heard = time.time()
+        self.connected = True
+        self.last_heard = time.time()
         self._count("servers.connections")
-        self._link.came_up(self)
+        self._pool.connection_opened(self)
         return stream
 
     async def _serve(self, stream: SocketStream) -> None:
@@ -136,195 +159,213 @@
                 tasks.start_soon(self._write, stream, tasks.cancel_scope)
                 await self._read(stream)
                 tasks.cancel_scope.cancel()
-        finally:  # also when the link itself is ended: a descriptor must not wait for the collector
+        finally:  # also on cancellation: a descriptor must not wait for garbage collection
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
             self._count("servers.closed")
 
-    # What is heard
+    # Receiving
 
     async def _read(self, stream: SocketStream) -> None:
-        """Until the connection ends or is of no more use."""
+        """Reads until the connection ends or a message is malformed."""
         decoder = sip.Decoder()
-        begun: float | None = None  # of the message that is not yet whole
-        late = False  # half the time for the rest of it is over
+        partial_since: float | None = None  # when the first byte of an incomplete message came
+        half_elapsed = False  # half the time for the rest of that message has passed
         while True:
-            limit = self._link.port.idle_close if begun is None else STALL / 2
+            limit = self._pool.owner.idle_close if partial_since is None else PARTIAL_MESSAGE_TIMEOUT_S / 2
             try:
                 with anyio.move_on_after(limit) as scope:
                     data = await stream.receive()
                 if scope.cancelled_caught:
-                    busy = self.load or self.outbox.in_flight or self._link.standing
-                    if begun is None and not busy:
+                    busy = self.load or self.outbox.in_flight or self._pool.standing
+                    if partial_since is None and not busy:
                         return
-                    if begun is not None and late:  # looked at twice: not our own delay
-                        raise sip.SipError("a message that stops short")
-                    late = True
+                    # Two waits in a row: the delay is not one of this process.
+                    if partial_since is not None and half_elapsed:
+                        raise sip.SipError("message was not completed in time")
+                    half_elapsed = True
                     continue
-                self.heard = time.time()
-                late, self.spoke = False, True
+                self.last_heard = time.time()
+                half_elapsed, self.received_data = False, True
                 count = 0
                 for message in decoder.feed(data):
                     count += 1
-                    await self._take(message)
-                await self._link.port.inbox.wait_for_space()
+                    await self._handle_message(message)
+                await self._pool.owner.inbox.wait_for_space()
                 if not decoder.pending:
-                    begun = None
-                elif count or begun is None:
-                    begun = self.heard
-                elif self.heard - begun > 2 * STALL:
-                    raise sip.SipError("a message that does not end")
+                    partial_since = None
+                elif count or partial_since is None:
+                    partial_since = self.last_heard
+                elif self.last_heard - partial_since > 2 * PARTIAL_MESSAGE_TIMEOUT_S:
+                    raise sip.SipError("message takes too long to complete")
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
             except sip.SipError as error:
                 self._count("servers.malformed")
-                self._link.port.log.event("malformed", server=self._link.server, error=str(error))
+                self._pool.owner.log.event("malformed", server=self._pool.server, error=str(error))
                 return
 
-    async def _take(self, message: sip.Message) -> None:
-        # A refusal is no sign of life: it may come from something in front of a machine that has vanished.
+    async def _handle_message(self, message: sip.Message) -> None:
+        # A refusal is no sign of life: it may come from an intermediary in front of a vanished machine.
         if message.status < 300:
-            self._link.heard = self.heard
+            self._pool.last_heard = self.last_heard
         if message.status:
             if message.method == "INVITE" and message.status >= 200:
-                self._answer(message)
+                self._handle_final_response(message)
             return
         match message.method:
             case "BYE":
                 self._count("servers.releases")
-                self._say(sip.response(message, 200, b"OK"))
-                self._link.over(message.call)
-                self._tell(CallOver(message.call, self._link.server, sip.cause(message) == CUT))
+                self._enqueue(sip.response(message, 200, b"OK"))
+                self._pool.end_call(message.call)
+                self._report(
+                    CallOver(message.call, self._pool.server, sip.release_cause(message) == CAUSE_CUT)
+                )
             case "NOTIFY":
                 self._count("servers.notifies")
-                if report := sip.load(message):
-                    await self._link.port.inbox.put(
-                        ControllerEvent(i.Probed(self._link.server, i.Outcome.OK, 0.0, report))
+                if report := sip.parse_load(message):
+                    await self._pool.owner.inbox.put(
+                        ControllerEvent(
+                            interface.Probed(self._pool.server, interface.Outcome.OK, 0.0, report)
+                        )
                     )
             case "OPTIONS":
-                self._say(sip.response(message, 200, b"OK"))
+                self._enqueue(sip.response(message, 200, b"OK"))
             case "ACK":
                 pass
             case _:
                 self._count("servers.unknown")
-                self._say(sip.response(message, 501, b"Not Implemented"))
-
-    def _answer(self, message: sip.Message) -> None:
-        """A final answer to an INVITE: acknowledged if there was one, also if it comes too late.
-
-        Matched by Call-ID and method alone: servers answer `CSeq: 1 INVITE` whatever was asked, so that the
-        number tells nothing of the attempt. What was cancelled is no longer open; its 487 ends nothing.
-        An answer under an id that nothing was sent for, ahead of a good one, says nothing of that one."""
-        call, standing = message.call, self._link.standing
-        if call in self.open and message.status != 487:
-            number = request_of(self.open[call]).number
-        elif call in self._crossing:
-            number = self._crossing.pop(call)
+                self._enqueue(sip.response(message, 501, b"Not Implemented"))
+
+    def _handle_final_response(self, message: sip.Message) -> None:
+        """Handles a final response to an INVITE; it is acknowledged even if it comes too late.
+
+        Matched by Call-ID and method alone: servers answer `CSeq: 1 INVITE` to every INVITE, so the
+        sequence number does not identify the attempt. A cancelled set-up is no longer open, and its 487
+        ends nothing. An answer to a Call-ID never sent here is counted and does not affect the ones that
+        follow."""
+        call, standing = message.call, self._pool.standing
+        if call in self.open_attempts and message.status != 487:
+            number = request_of(self.open_attempts[call]).number
+        elif call in self._cancelled:
+            number = self._cancelled.pop(call)
         elif call in standing:
             number = standing[call].number
         else:
             self._count("servers.unknown_answers")
             return
         if message.status < 300 and not message.body:
-            raise sip.SipError("an answer without a description")
-        self._say(sip.request("ACK", number, call, CSEQ))
+            raise sip.SipError("answer has no session description")
+        self._enqueue(sip.request("ACK", number, call, INVITE_CSEQ))
         if message.status == 487:
             self._count("servers.cancels_heard")
             return
-        attempt = self.open.pop(call, None)
+        attempt = self.open_attempts.pop(call, None)
         if message.status < 300:
             if attempt is None and call in standing:
                 self._count("servers.copies")
                 return
-            if attempt is not None:  # a refusal waits in no line: it tells nothing of those before it
-                self._link.answered = max(self._link.answered, attempt.sent or 0.0)
+            # Only for an answer: a refusal may overtake queued set-ups, and proves nothing about them.
+            if attempt is not None:
+                self._pool.latest_answered_sent_at = max(
+                    self._pool.latest_answered_sent_at, attempt.sent or 0.0
+                )
             self._count("servers.answers")
-            self._link.stands(call, number, self)
-            tried = -1 if attempt is None else attempt.number
-            self._tell(Answered(call, tried, self._link.server, message.body))
+            self._pool.call_stands(call, number, self)
+            attempt_number = -1 if attempt is None else attempt.number
+            self._report(Answered(call, attempt_number, self._pool.server, message.body))
         elif attempt is not None:
             self._count(f"servers.status_{message.status}")
-            outcome = OUTCOMES.get(message.status, i.Outcome.ERROR)
-            cause = NOTES.get(message.text(b"warning-word"), 0)
-            self._tell(AttemptOver(attempt, outcome, cause))
+            outcome = OUTCOME_BY_STATUS.get(message.status, interface.Outcome.ERROR)
+            cause = CAUSE_BY_WARNING.get(message.text(b"warning-word"), 0)
+            self._report(AttemptOver(attempt, outcome, cause))
         else:
             self._count("servers.late_answers")
 
-    # What is said
+    # Sending
 
-    def _say(self, data: bytes) -> None:
+    def _enqueue(self, data: bytes) -> None:
         if not self.outbox.put(data):
             self.close("too_slow")
 
     async def _write(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        """What is in hand when the line ends, also in the middle of a write, is the link's to pass on."""
+        """Writes queued orders. Those in flight when the connection ends, even in the middle of a write,
+        are passed on by the pool."""
         while True:
             await self.outbox.wait()
-            await self._hear_first()
+            await self._let_readers_run()
             items = self.outbox.take()
-            # No wait from here on until the kernel has the bytes: the last look must be the last.
-            parts = [(item, data) for item in items if (data := self._bytes(item)) is not None]
+            # No await from here until the kernel has the bytes: nothing may change after the check in
+            # `_encode`.
+            parts = [(item, data) for item in items if (data := self._encode(item)) is not None]
             try:
-                with anyio.fail_after(SEND_TIMEOUT):
+                with anyio.fail_after(SEND_TIMEOUT_S):
                     await stream.send(b"".join(data for _, data in parts))
             except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 scope.cancel()
                 return
             self.outbox.written()
-            # The figure `upstream_requests_total`: set-ups whose last byte the kernel has taken.
+            # Basis of the metric `upstream_requests_total`: set-ups whose last byte the kernel has taken.
             self._count("servers.invites_written", sum(isinstance(item, Attempt) for item, _ in parts))
             for item, _ in parts:
-                if isinstance(item, Cancel):
-                    self._tell(AttemptOver(item.attempt, i.Outcome.CANCELLED))
+                if isinstance(item, CancelOrder):
+                    self._report(AttemptOver(item.attempt, interface.Outcome.CANCELLED))
 
-    async def _hear_first(self) -> None:
-        """After a long turn of the loop, what callers and the bus have said meanwhile is heard before a
-        set-up leaves: the end of its caller, or of its server, may lie in a socket that nobody has read."""
+    async def _let_readers_run(self) -> None:
+        """Lets the readers of the other sockets run before a set-up that was delayed is sent.
+
+        After a long turn of the event loop, the end of its caller or of its server may lie in a socket
+        that has not been read."""
         now = time.time()
-        if self.outbox.any(lambda item: isinstance(item, Attempt) and now - item.placed > LAG):
-            for _ in range(TURNS):
+        if self.outbox.any(lambda item: isinstance(item, Attempt) and now - item.placed > MAX_SEND_DELAY_S):
+            for _ in range(EVENT_LOOP_TURNS):
                 await anyio.lowlevel.checkpoint()
 
-    def _bytes(self, item: Item) -> bytes | None:
-        """What goes out for an order at this moment, if it still goes."""
+    def _encode(self, item: Order) -> bytes | None:
+        """Returns the bytes of an order, or None if it no longer applies."""
         if isinstance(item, bytes):
             return item
-        if isinstance(item, Bye):
-            if dialog := self._link.over(item.call):
+        if isinstance(item, ByeOrder):
+            if dialog := self._pool.end_call(item.call):
                 item.number = dialog.number
             if not item.number:
-                return None  # it ended meanwhile
+                return None  # the call has ended meanwhile
             self._count("servers.sent_bye")
-            return sip.bye(item.number, item.call, CSEQ + 1, 16)
+            return sip.bye(item.number, item.call, INVITE_CSEQ + 1, 16)
         now = time.time()
-        if isinstance(item, Cancel):
+        if isinstance(item, CancelOrder):
             attempt = item.attempt
-            if self.open.get(attempt.call) is not attempt:  # answered meanwhile
-                self._tell(AttemptOver(attempt, i.Outcome.CANCELLED))
+            if self.open_attempts.get(attempt.call) is not attempt:  # answered meanwhile
+                self._report(AttemptOver(attempt, interface.Outcome.CANCELLED))
                 return None
-            del self.open[attempt.call]
-            number = self._crossing[attempt.call] = request_of(attempt).number
-            if len(self._crossing) > CROSSINGS:
-                self._crossing.popitem(last=False)
+            del self.open_attempts[attempt.call]
+            number = self._cancelled[attempt.call] = request_of(attempt).number
+            if len(self._cancelled) > MAX_CANCELLED:
+                self._cancelled.popitem(last=False)
             self._count("servers.sent_cancel")
-            return sip.request("CANCEL", number, attempt.call, CSEQ)
+            return sip.request("CANCEL", number, attempt.call, INVITE_CSEQ)
         if not item.may_send(now):
             if not item.ended:
-                self._tell(AttemptOver(item, i.Outcome.MOOT))
+                self._report(AttemptOver(item, interface.Outcome.MOOT))
             return None
         request = request_of(item)
         item.sent = now
-        self.open[item.call] = item
+        self.open_attempts[item.call] = item
         self._count("servers.sent_invite")
-        left = max(1, round((item.deadline - now) * 1000))
-        return sip.invite(request.number, item.call, CSEQ, request.class_name, left, request.description)
+        time_left_ms = max(1, round((item.deadline - now) * 1000))
+        return sip.invite(
+            request.number, item.call, INVITE_CSEQ, request.class_name, time_left_ms, request.description
+        )
+
+    def _report(self, message: Message) -> None:
+        """Puts a message into the core's inbox without waiting.
 
-    def _tell(self, word: Message) -> None:
-        """At once: a wait for room in the inbox could be cut by the end of the line, and the word lost. The
-        reader waits for room before it takes more."""
-        self._link.port.inbox.put_nowait(word)
+        The end of the connection could cancel a wait, and the message would be lost. The reader waits for
+        space in the inbox before it reads more."""
+        self._pool.owner.inbox.put_nowait(message)
 
 
 def request_of(attempt: Attempt) -> Request:
+    """Returns the request of an attempt that this port was given."""
     assert isinstance(attempt.request, Request)
     return attempt.request
--- a/harepick/net/servers.py
+++ b/harepick/net/servers.py
@@ -1,15 +1,14 @@
-"""The core's port towards the setup servers: hands every order to the link of its server.
+"""The core's port to the setup servers: hands every order to the connection pool of its server.
 
-Owns which links there are. It decides nothing: whether a set-up may still leave is asked of the core right
-before its bytes go, in `server_connection.py`.
-"""
+Owns the set of pools and makes no decisions: whether a set-up may still be sent is asked of the core right
+before its bytes go out, in `server_connection.py`."""
 
 from __future__ import annotations
 
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.inbox import Inbox
 from harepick.core.messages import Attempt
 from harepick.counters import Counters
@@ -19,6 +18,9 @@
 
 
 class Servers:
+    """The connection pools of all setup servers. Implements the core's `Servers` protocol; times in
+    seconds."""
+
     def __init__(
         self,
         directory: Directory,
@@ -27,7 +29,7 @@
         log: Log,
         connect_timeout: float,
         idle_close: float,
-        most_lines: int,
+        max_connections: int,
     ) -> None:
         self.directory = directory
         self.inbox = inbox
@@ -35,55 +37,60 @@
         self.log = log
         self.connect_timeout = connect_timeout
         self.idle_close = idle_close
-        self._most_lines = most_lines
-        self._links: dict[str, ConnectionPool] = {}
+        self._max_connections = max_connections
+        self._pools: dict[str, ConnectionPool] = {}
         self._tasks: TaskGroup | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Holds the tasks of the links and their lines."""
+        """Runs the tasks of the pools and their connections, until cancelled."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             task_status.started()
             await anyio.sleep_forever()
 
     @property
-    def room(self) -> bool:
-        return sum(link.lines for link in self._links.values()) < self._most_lines
+    def may_connect(self) -> bool:
+        """Whether another connection fits the limit over all servers."""
+        return sum(pool.connection_count for pool in self._pools.values()) < self._max_connections
 
     @property
-    def unwritten(self) -> int:
-        return sum(link.backlog for link in self._links.values())
+    def pending_writes(self) -> int:
+        """Orders not known to be written."""
+        return sum(pool.backlog for pool in self._pools.values())
 
-    def place(self, attempt: Attempt) -> i.Outcome | None:
-        link = self._link(attempt.server)
-        if link is None:
-            return i.Outcome.UNREACHED
-        return None if link.place(attempt) else i.Outcome.MOOT
+    def place(self, attempt: Attempt) -> interface.Outcome | None:
+        """Starts an attempt; returns an outcome if it is over at once."""
+        pool = self._pool(attempt.server)
+        if pool is None:
+            return interface.Outcome.UNREACHED
+        return None if pool.place(attempt) else interface.Outcome.MOOT
 
     def cancel(self, attempt: Attempt) -> bool:
-        link = self._links.get(attempt.server)
-        # If it is open nowhere, it never left, or its connection took it along.
-        return link is None or attempt.sent is None or not link.cancel(attempt)
+        """Cancels an attempt; returns True if it is over already, else an `AttemptOver` follows."""
+        pool = self._pools.get(attempt.server)
+        # If it is open on no connection, it was never sent, or was given up with its connection.
+        return pool is None or attempt.sent is None or not pool.cancel(attempt)
 
     def release(self, server: str, call: str) -> None:
-        link = self._links.get(server)
-        if link is None or not link.release(call):
+        """Releases a standing call; counted as lost if that cannot be queued."""
+        pool = self._pools.get(server)
+        if pool is None or not pool.release(call):
             self.counters.add("servers.releases_lost")
 
-    def listed(self, event: i.ServerList) -> None:
-        """Follows the list: a server that has started anew, or gone, no longer holds its old connection."""
-        for row in event.entries:
-            if link := self._links.get(row.server):
-                link.listed(row, self.directory)
-                if link.retired:
-                    del self._links[row.server]
+    def apply_list(self, event: interface.ServerList) -> None:
+        """Follows the server list: connections to a server that was restarted or removed are closed."""
+        for entry in event.entries:
+            if pool := self._pools.get(entry.server):
+                pool.update_from_list(entry, self.directory)
+                if pool.retired:
+                    del self._pools[entry.server]
 
-    def _link(self, server: str) -> ConnectionPool | None:
-        if link := self._links.get(server):
-            return link
-        row = self.directory.get(server)
-        if row is None or row.entry.state == "gone" or self._tasks is None:
+    def _pool(self, server: str) -> ConnectionPool | None:
+        if pool := self._pools.get(server):
+            return pool
+        record = self.directory.get(server)
+        if record is None or record.entry.state == "gone" or self._tasks is None:
             return None
-        link = self._links[server] = ConnectionPool(self, self._tasks, server, row.address)
-        self._tasks.start_soon(link.watch)
-        return link
+        pool = self._pools[server] = ConnectionPool(self, self._tasks, server, record.address)
+        self._tasks.start_soon(pool.watch)
+        return pool
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -1,4 +1,4 @@
-"""The platform's front: wires its parts up, and sees a planned stop through."""
+"""The platform's front: creates and connects its parts, and carries out a planned stop."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from harepick.interface import Settings
 from harepick.lifecycle import wait_until
 from harepick.log import Log
-from harepick.net.bus import Bus
+from harepick.net.bus import BusClient
 from harepick.net.callers import HANDSHAKE_SETTLE_S, MAX_ENTERING, Callers
 from harepick.net.servers import Servers
 from harepick.settings import PlatformSettings, SettingsError, read_platform
@@ -28,58 +28,65 @@
     from harepick.gapping.screen import GapScreen
     from harepick.ops import Telemetry
 
-STILL_COMING = 0.8  # after SIGTERM, connections and set-ups still come for so long
-LONGEST_GRACE = 3.0  # SIGKILL comes this or the longest deadline, if shorter, and 0.7 s after SIGTERM
-LONGEST_HOLD = 5.0  # at a handover SIGKILL comes after the longest deadline, 5 s at most, and 0.7 s
-KILL_AFTER = 0.7
-FLUSH = 0.2
-# Descriptors of the program itself: log, loop, listeners, bus, a file that is read again, and connections
-# that have been accepted and not yet counted.
-OWN = 12 + MAX_ENTERING
-RECEIVE = 32 * 1024  # bytes in a caller connection's receive buffer, twice a message at its longest
+ACCEPT_AFTER_SIGTERM_S = 0.8  # new connections and set-ups still arrive for this long after SIGTERM
+MAX_ANSWER_GRACE_S = 3.0  # SIGKILL comes this, or the longest deadline if shorter, plus 0.7 s after SIGTERM
+MAX_HANDOVER_HOLD_S = 5.0  # at a handover SIGKILL comes after the longest deadline, 5 s at most, plus 0.7 s
+KILL_MARGIN_S = 0.7  # the 0.7 s above
+FLUSH_S = 0.2  # to write the last messages
+# Descriptors of the process itself: log, event loop, listeners, bus, a file that is reloaded, and
+# connections that have been accepted and are not yet counted.
+OWN_DESCRIPTORS = 12 + MAX_ENTERING
+RECEIVE_BUFFER_BYTES = 32 * 1024  # of a caller connection: twice the longest message
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
-    """Who may hold how many of the descriptors. Together they stay under the limit, whoever fills their
-    share: the bus, a line to a server and a late caller always find one."""
+class DescriptorBudget:
+    """How many of the process's descriptors each kind of connection may use.
+
+    The sum stays under the limit, so that one kind using its whole share leaves enough for the bus, for a
+    connection to a server and for a caller that comes late."""
 
     callers: int
     lines: int
     ops: int
 
     @classmethod
-    def of(cls, sockets: int) -> Shares:
+    def divide(cls, sockets: int) -> DescriptorBudget:
+        """Divides `sockets`, the limit on descriptors."""
         lines = max(1, sockets // 4)
         ops = max(2, min(64, sockets // 16))
-        return cls(max(1, min(sockets // 2, sockets - lines - ops - OWN)), lines, ops)
+        return cls(max(1, min(sockets // 2, sockets - lines - ops - OWN_DESCRIPTORS)), lines, ops)
 
 
 class PlatformFront:
+    """Runs the platform's parts as one front."""
+
     def __init__(
         self, config: PlatformSettings, environ: Mapping[str, str], counters: Counters, log: Log
     ) -> None:
         self._config, self._environ, self._counters, self._log = config, environ, counters, log
         self._directory = Directory()
-        self._bus: Bus | None = None
+        self._bus: BusClient | None = None
         self._engine: Engine | None = None
         self._callers: Callers | None = None
         self._inbox: Inbox | None = None
-        self._screen: GapScreen | None = None  # number gapping, once gaps are configured
+        self._screen: GapScreen | None = None  # number gapping; None until gaps are configured
         self._servers: Servers | None = None
-        self._serving = False  # the readiness that `ops` tells: listening, and not stopping
-        # Of all settings since the start: which of them SIGKILL is reckoned by after a reload is not told.
-        self._longest = _longest(config.settings)
+        self._serving = False  # what the `ops` listener reports as readiness
+        # The shortest since the start: it is not specified which settings determine the time of SIGKILL
+        # after a reload.
+        self._longest_deadline = _longest_deadline(config.settings)
         try:
-            self._known = self._directory.load(config.known)
+            self._initial_list = self._directory.load(config.known)
         except DirectoryError as error:
             raise SettingsError(f"setting known.batch makes no sense: {error}") from None
 
     def reload(self) -> None:
-        """Reads the configuration again (hot reload): a new bus is followed at once, new settings reach the
-        module through the inbox and hold for what arrives from then on; all else waits for a restart.
+        """Reloads the configuration (at SIGHUP).
 
-        A faulty file changes nothing: it may be half written, or meant for another program."""
+        A new bus address is followed at once. New settings reach the controller through the inbox and
+        apply to calls that arrive afterwards. Everything else waits for a restart. An invalid file changes
+        nothing: it may be incomplete, or meant for another program."""
         try:
             config = read_platform(self._environ)
         except SettingsError as error:
@@ -87,13 +94,13 @@
             self._log.event("reload_failed", error=str(error))
             return
         try:
-            self._screen_gaps(config)
-        except SettingsError as error:  # a gap that makes no sense now, an end in the past say
+            self._apply_gaps(config)
+        except SettingsError as error:  # for example a gap whose end is in the past
             self._counters.add("reload.bad_files")
             self._log.event("reload_failed", error=str(error))
             return
         if self._bus and config.bus != self._bus.address:
-            self._bus.move(config.bus)
+            self._bus.change_address(config.bus)
         old = self._config
         retuned = (config.settings, config.open_cap, config.idle_close) != (
             old.settings,
@@ -101,30 +108,31 @@
             old.idle_close,
         )
         if retuned and self._inbox is not None and self._callers is not None and self._servers is not None:
-            self._callers.retune(config.settings.classes)
+            self._callers.replace_classes(config.settings.classes)
             self._inbox.put_nowait(ReplaceSettings(config.settings, config.open_cap))
             self._servers.connect_timeout = config.settings.connect_timeout
             self._servers.idle_close = config.idle_close
-            self._longest = min(self._longest, _longest(config.settings))
+            self._longest_deadline = min(self._longest_deadline, _longest_deadline(config.settings))
             self._config = replace(
                 old, settings=config.settings, open_cap=config.open_cap, idle_close=config.idle_close
             )
         self._config = replace(self._config, gaps=config.gaps)
-        start = self._config  # `known` and `seed` are of a start, and new with each
+        in_use = self._config  # `known` and `seed` differ at every start
         waiting = [
             key.name
             for key in fields(PlatformSettings)
             if key.name not in ("bus", "known", "seed")
-            and getattr(config, key.name) != getattr(start, key.name)
+            and getattr(config, key.name) != getattr(in_use, key.name)
         ]
         self._counters.add("reload.files")
         classes = [c.name for c in self._config.settings.classes]
         self._log.event("reloaded", retuned=retuned, classes=classes, waiting_for_restart=waiting)
 
-    def _screen_gaps(self, config: PlatformSettings) -> None:
-        """Sets, changes and lifts gaps as `config` says; the package is loaded once there are any.
+    def _apply_gaps(self, config: PlatformSettings) -> None:
+        """Sets, changes and lifts gaps as configured; the gapping package is imported only if there are
+        any.
 
-        Raises `SettingsError` naming the gap and key, and then changes nothing."""
+        Raises `SettingsError` naming the gap and the key; nothing is changed then."""
         if not config.gaps and self._screen is None:
             return
         if self._screen is None:
@@ -136,19 +144,21 @@
         from harepick.gapping.gaps import GapError
 
         try:
-            told = screen.apply(config.gaps, time.time(), [c.name for c in config.settings.classes])
+            changes = screen.apply(config.gaps, time.time(), [c.name for c in config.settings.classes])
         except GapError as error:
             raise SettingsError(f"setting gaps: {error}") from None
         self._screen = screen
         if self._engine is not None:
             self._engine.screen = screen
-        if any(told.values()):
-            self._log.event("gaps", **told, now=len(screen))
+        if any(changes.values()):
+            self._log.event("gaps", **changes, now=len(screen))
 
     def ready(self) -> bool:
+        """Whether the front takes requests: it listens, and is not stopping."""
         return self._serving
 
     def telemetry(self) -> Telemetry:
+        """Returns the current metrics."""
         from harepick.ops import Telemetry
 
         counters = self._counters
@@ -166,11 +176,12 @@
     async def run(
         self, stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Serves until `stop`, then drains."""
         config, counters, log = self._config, self._counters, self._log
         module = config.settings
         inbox = self._inbox = Inbox()
         directory = self._directory
-        shares = Shares.of(config.sockets)
+        budget = DescriptorBudget.divide(config.sockets)
         servers = self._servers = Servers(
             directory,
             inbox,
@@ -178,65 +189,75 @@
             log,
             module.connect_timeout,
             config.idle_close,
-            most_lines=shares.lines,
+            max_connections=budget.lines,
         )
-        self._screen_gaps(config)
+        self._apply_gaps(config)
         engine = self._engine = Engine(
             module, config.seed, servers, inbox, counters, log, config.open_cap, screen=self._screen
         )
-        callers = self._callers = Callers(module.classes, inbox, counters, log, most=shares.callers)
-        bus = self._bus = Bus(config.bus, directory, inbox, servers, counters, log, config.seed)
+        callers = self._callers = Callers(
+            module.classes, inbox, counters, log, max_connections=budget.callers
+        )
+        bus = self._bus = BusClient(config.bus, directory, inbox, servers, counters, log, config.seed)
         where = config.listen
-        # SO_REUSEPORT: a process that is to take over listens beside this one (docs/design/operating.md).
+        # SO_REUSEPORT: a successor listens beside this process during a handover
+        # (docs/design/operating.md).
         listener = await anyio.create_tcp_listener(
             local_host=where.host, local_port=where.port, reuse_port=True
         )
         closing = anyio.Event()
         async with listener, anyio.create_task_group() as tasks:
-            if config.ops:  # off unless configured: not even loaded then
+            if config.ops:  # imported only if configured
                 from harepick.ops import OpsListener
 
-                await tasks.start(OpsListener(config.ops, self, counters, log, most=shares.ops).run)
+                await tasks.start(
+                    OpsListener(config.ops, self, counters, log, max_connections=budget.ops).run
+                )
             await tasks.start(servers.run)
-            tasks.start_soon(engine.run, self._known)
+            tasks.start_soon(engine.run, self._initial_list)
             tasks.start_soon(bus.run)
             for each in listener.listeners:
                 assert isinstance(each, SocketListener)
-                # A client that sends without end may hold so much of our memory, and no more.
-                each.extra(SocketAttribute.raw_socket).setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE)
+                # Bounds the kernel memory that a client can occupy by sending without end.
+                each.extra(SocketAttribute.raw_socket).setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
                 tasks.start_soon(callers.listen, each, closing)
             log.event("listening", front="platform", listen=str(where), offset=directory.offset)
             self._serving = True
             task_status.started()
             await stop.wait()
-            self._serving = False  # a successor that says yes takes the new requests
+            self._serving = False  # new requests go to a successor that is ready
             await self._drain(engine, callers, servers, closing)
             tasks.cancel_scope.cancel()
 
     async def _drain(self, engine: Engine, callers: Callers, servers: Servers, closing: anyio.Event) -> None:
-        """A graceful drain, in the order of docs/design/operating.md: take what still comes, answer all that
-        was taken before SIGKILL can come, keep what stands while this process may, then release it."""
-        began = time.monotonic()
+        """Drains gracefully, in the order of docs/design/operating.md.
+
+        Takes what still arrives, answers every request before SIGKILL can come, keeps standing calls for
+        as long as this process may run, and then releases them."""
+        started_at = time.monotonic()
 
         def grace() -> float:
-            return min(LONGEST_GRACE, self._longest) + KILL_AFTER - 2 * FLUSH
-
-        coming = min(STILL_COMING, grace())
-        await anyio.sleep(coming)
-        closing.set()  # new connections meet the successor, or are refused once none can come any more
-        hold = min(LONGEST_HOLD, self._longest) + KILL_AFTER + FLUSH  # a reload may have come with the signal
-        # A set-up is taken with its connection: it may still come, or its rest. What the listener took last
-        # is there a moment after the close.
+            return min(MAX_ANSWER_GRACE_S, self._longest_deadline) + KILL_MARGIN_S - 2 * FLUSH_S
+
+        accept_for = min(ACCEPT_AFTER_SIGTERM_S, grace())
+        await anyio.sleep(accept_for)
+        closing.set()  # from now on new connections go to the successor, or are refused
+        # Computed after the wait: a reload may have come with the signal.
+        hold = min(MAX_HANDOVER_HOLD_S, self._longest_deadline) + KILL_MARGIN_S + FLUSH_S
+        # An accepted connection may still bring a set-up, or the rest of one. What the listener accepted
+        # last is registered a moment after the close.
         await wait_until(
-            lambda: engine.idle and not callers.hearing, grace() - coming, 2 * HANDSHAKE_SETTLE_S
+            lambda: engine.idle and not callers.receiving, grace() - accept_for, 2 * HANDSHAKE_SETTLE_S
         )
         engine.fail_unanswered()
-        self._log.event("drained", standing=len(engine), after=round(time.monotonic() - began, 3))
-        await wait_until(lambda: engine.idle and not callers.unwritten, hold - (time.monotonic() - began))
+        self._log.event("drained", standing=len(engine), after=round(time.monotonic() - started_at, 3))
+        await wait_until(
+            lambda: engine.idle and not callers.pending_writes, hold - (time.monotonic() - started_at)
+        )
         engine.release_all()
-        await wait_until(lambda: not callers.unwritten and not servers.unwritten, FLUSH, 0.02)
+        await wait_until(lambda: not callers.pending_writes and not servers.pending_writes, FLUSH_S, 0.02)
 
 
-def _longest(settings: Settings) -> float:
-    """The longest deadline, in seconds."""
+def _longest_deadline(settings: Settings) -> float:
+    """The longest deadline of all classes, in seconds."""
     return max(c.give_up for c in settings.classes)
--- a/harepick/net/sip.py
+++ b/harepick/net/sip.py
@@ -1,4 +1,4 @@
-"""The SIP messages that setup servers speak: a codec without sockets, incremental and bounded."""
+"""Incremental, bounded codec of the SIP messages exchanged with setup servers; uses no sockets."""
 
 from __future__ import annotations
 
@@ -6,25 +6,31 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-MOST = 16 * 1024  # bytes of a message, head and body together
-GAP = b"\r\n\r\n"
-STATUS = re.compile(rb"SIP/2\.0 ([1-6]\d\d)(?: .*)?")
-REQUEST = re.compile(rb"([A-Z]+) (\S+) SIP/2\.0")
-# A first line cut short: of a response, of a request, or the keep-alive ahead of one.
-BEGUN = re.compile(rb"SIP(/(2(\.(0( .*)?)?)?)?)?|[A-Z]{1,12}( (s(i(p(:.*)?)?)?)?)?|\r", re.DOTALL)
+MAX_MESSAGE_BYTES = 16 * 1024  # head and body together
+HEADER_END = b"\r\n\r\n"
+STATUS_LINE = re.compile(rb"SIP/2\.0 ([1-6]\d\d)(?: .*)?")
+REQUEST_LINE = re.compile(rb"([A-Z]+) (\S+) SIP/2\.0")
+# An incomplete first line: of a response, of a request, or of the keep-alive before one.
+PARTIAL_FIRST_LINE = re.compile(
+    rb"SIP(/(2(\.(0( .*)?)?)?)?)?|[A-Z]{1,12}( (s(i(p(:.*)?)?)?)?)?|\r", re.DOTALL
+)
 DIGITS = re.compile(rb"\d{1,9}")
-SINGLE = (b"content-length", b"call-id", b"cseq")  # headers that must not be there twice with two values
+SINGLE_VALUE_HEADERS = (
+    b"content-length",
+    b"call-id",
+    b"cseq",
+)  # two different values make the message malformed
 
 
 class SipError(ValueError):
-    """Bytes that are no message; the connection they came on is of no more use."""
+    """The bytes received are not a valid message; the connection cannot be used any further."""
 
 
 @dataclass(slots=True)
 class Message:
     """A request (with method and target) or a response (with a status)."""
 
-    method: str  # of a response: the method in its CSeq
+    method: str  # for a response: the method in its CSeq
     status: int = 0
     target: bytes = b""
     headers: dict[bytes, bytes] = field(default_factory=dict)  # names in lower case
@@ -32,102 +38,109 @@
 
     @property
     def call(self) -> str:
+        """The Call-ID; empty without one."""
         return self.headers.get(b"call-id", b"").decode("latin-1")
 
     @property
     def number(self) -> int:
-        """Of its CSeq; -1 without one."""
-        word = self.headers.get(b"cseq", b"").split(b" ")[0]
-        return int(word) if DIGITS.fullmatch(word) else -1
+        """The CSeq number; -1 without one."""
+        number = self.headers.get(b"cseq", b"").split(b" ")[0]
+        return int(number) if DIGITS.fullmatch(number) else -1
 
     def text(self, name: bytes) -> str:
+        """The value of a header, given in lower case; empty without one."""
         return self.headers.get(name, b"").decode("latin-1")
 
 
 class Decoder:
-    """Takes bytes as they come, gives whole messages; keeps at most one message's worth."""
+    """Incremental decoder; buffers at most one incomplete message."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def pending(self) -> bool:
-        """A message has begun that is not yet whole."""
+        """Whether an incomplete message is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole now, one by one: what comes ahead of a malformed one counts."""
+        """Yields the messages completed by `data`, one at a time, so that those ahead of a malformed one
+        are still delivered.
+
+        Raises `SipError` at a malformed message."""
         buffer, self._buffer = self._buffer + data, bytearray()
         while True:
             start = 0
             while buffer[start : start + 2] == b"\r\n":  # keep-alives between messages
                 start += 2
             del buffer[:start]
-            end = buffer.find(GAP)
+            end = buffer.find(HEADER_END)
             if end < 0:
-                if len(buffer) > MOST:
-                    raise SipError("a head over 16 KiB")
+                if len(buffer) > MAX_MESSAGE_BYTES:
+                    raise SipError("message head exceeds 16 KiB")
                 break
-            message = _head(bytes(buffer[:end]))
+            message = _parse_head(bytes(buffer[:end]))
             length = message.headers.get(b"content-length", b"")
             if not DIGITS.fullmatch(length):
-                raise SipError(f"Content-Length {length[:20]!r}")
-            whole = end + len(GAP) + int(length)
-            if whole > MOST:
-                raise SipError(f"a message of {whole} bytes")
+                raise SipError(f"invalid Content-Length {length[:20]!r}")
+            whole = end + len(HEADER_END) + int(length)
+            if whole > MAX_MESSAGE_BYTES:
+                raise SipError(f"message of {whole} bytes exceeds 16 KiB")
             if len(buffer) < whole:
                 break
-            message.body = bytes(buffer[end + len(GAP) : whole])
+            message.body = bytes(buffer[end + len(HEADER_END) : whole])
             del buffer[:whole]
-            _fits(message.body, buffer)
+            _check_body_end(message.body, buffer)
             yield message
         self._buffer = buffer
-        if not _begins(buffer):
-            raise SipError(f"first line {bytes(buffer[:40])!r}")
+        if not _may_begin_message(buffer):
+            raise SipError(f"invalid first line {bytes(buffer[:40])!r}")
+
 
+def _check_body_end(body: bytes, rest: bytearray) -> None:
+    """Raises `SipError` if the Content-Length was too small.
 
-def _fits(body: bytes, rest: bytearray) -> None:
-    """Guards against a Content-Length that is too small: the start of a body would pass for all of it, and
-    be passed on as an answer that nobody gave. What follows a message must be able to begin one, and a line
-    end that the body lacks is the body's."""
+    The start of the body would otherwise be taken for the whole of it and passed on as an answer that no
+    server gave. What follows a message must be able to begin one; a line end that the body lacks belongs
+    to the body."""
     cut = rest.startswith(b"\r\n") and body and not body.endswith(b"\r\n")
     start = 0
     while rest[start : start + 2] == b"\r\n":
         start += 2
-    if cut or not _begins(rest[start:]):
-        raise SipError(f"a body of {len(body)} bytes that goes on")
+    if cut or not _may_begin_message(rest[start:]):
+        raise SipError(f"body is longer than its Content-Length of {len(body)}")
 
 
-def _begins(data: bytearray) -> bool:
-    """Nothing, or what may be the start of a message."""
+def _may_begin_message(data: bytearray) -> bool:
+    """Whether `data` is empty or may be the start of a message."""
     line, whole, _ = data.partition(b"\r\n")
     if whole:
-        return bool(STATUS.fullmatch(line) or REQUEST.fullmatch(line))
-    return not line or bool(BEGUN.fullmatch(line))
+        return bool(STATUS_LINE.fullmatch(line) or REQUEST_LINE.fullmatch(line))
+    return not line or bool(PARTIAL_FIRST_LINE.fullmatch(line))
 
 
-def _head(data: bytes) -> Message:
+def _parse_head(data: bytes) -> Message:
     first, *lines = data.split(b"\r\n")
     headers: dict[bytes, bytes] = {}
     for line in lines:
         name, mark, value = line.partition(b":")
         if not mark:
-            raise SipError(f"header line {line[:40]!r}")
+            raise SipError(f"invalid header line {line[:40]!r}")
         name, value = name.strip().lower(), value.strip()
-        if headers.setdefault(name, value) != value and name in SINGLE:
-            raise SipError(f"two values of {name.decode('latin-1')}")
-    if status := STATUS.fullmatch(first):
+        if headers.setdefault(name, value) != value and name in SINGLE_VALUE_HEADERS:
+            raise SipError(f"conflicting values of header {name.decode('latin-1')}")
+    if status := STATUS_LINE.fullmatch(first):
         method = headers.get(b"cseq", b"").rpartition(b" ")[2].decode("latin-1")
         return Message(method, int(status[1]), headers=headers)
-    if request := REQUEST.fullmatch(first):
+    if request := REQUEST_LINE.fullmatch(first):
         return Message(request[1].decode(), 0, request[2], headers)
-    raise SipError(f"first line {first[:40]!r}")
+    raise SipError(f"invalid first line {first[:40]!r}")
 
 
 def request(
     method: str, number: bytes, call: str, sequence: int, extra: bytes = b"", body: bytes = b""
 ) -> bytes:
-    """`extra`: further header lines, each with its line end."""
+    """Encodes a request; `extra` holds further header lines, each with its line end."""
     return (
         b"%s sip:%s@net SIP/2.0\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: %s\r\nCSeq: %d %s\r\n"
         b"%sContent-Length: %d\r\n\r\n%s"
@@ -146,16 +159,18 @@
 def invite(
     number: bytes, call: str, sequence: int, class_name: bytes, expires_ms: int, description: bytes
 ) -> bytes:
+    """Encodes an INVITE with the call class, the time left in milliseconds and the session description."""
     extra = b"Priority-Class: %s\r\nExpires-Ms: %d\r\n" % (class_name, expires_ms)
     return request("INVITE", number, call, sequence, extra, description)
 
 
 def bye(number: bytes, call: str, sequence: int, cause: int) -> bytes:
+    """Encodes a BYE with a Q.850 cause."""
     return request("BYE", number, call, sequence, b"Reason: Q.850;cause=%d\r\n" % cause)
 
 
 def response(message: Message, status: int, reason: bytes) -> bytes:
-    """The response to a request, with the headers that match it."""
+    """Encodes a response to a request, with the headers that identify the transaction."""
     copied = b"".join(
         b"%s: %s\r\n" % (name, message.headers[key])
         for name, key in ((b"Via", b"via"), (b"Call-ID", b"call-id"), (b"CSeq", b"cseq"))
@@ -164,14 +179,14 @@
     return b"SIP/2.0 %d %s\r\n%sContent-Length: 0\r\n\r\n" % (status, reason, copied)
 
 
-def cause(message: Message) -> int:
-    """The cause in `Reason: Q.850;cause=N`; -1 without one."""
+def release_cause(message: Message) -> int:
+    """Returns the Q.850 cause in `Reason: Q.850;cause=N`; -1 without one."""
     found = re.search(rb"cause\s*=\s*(\d+)", message.headers.get(b"reason", b""))
     return int(found[1]) if found else -1
 
 
-def load(message: Message) -> dict[str, float]:
-    """The state of a group, `P-Load: free:278;size:278`; what is no figure is left out."""
+def parse_load(message: Message) -> dict[str, float]:
+    """Parses a load report, `P-Load: free:278;size:278`; values that are not numbers are left out."""
     report = {}
     for part in message.text(b"p-load").split(";"):
         name, _, value = part.partition(":")
--- a/harepick/net/steering.py
+++ b/harepick/net/steering.py
@@ -1,39 +1,43 @@
-"""Steers new connections from one listening socket of an SO_REUSEPORT group to the one that came after it.
+"""Steers new connections from one listening socket of an SO_REUSEPORT group to the next younger one.
 
-The kernel completes handshakes on behalf of a listening socket until the moment of its close, and resets what
-lies in its queue then: no order of accepts and a close is free of that. A filter of the group (classic BPF,
-Linux 4.5 and later) has the kernel choose another socket for whatever comes new; what had begun here is
-taken, and then the socket can be closed with nothing in its queue.
-"""
+The kernel completes handshakes on behalf of a listening socket until it is closed, and resets the
+connections in its queue at the close; no order of accept and close calls avoids that. A classic BPF filter
+on the group (Linux 4.5 and later) makes the kernel choose another socket for new connections. Those
+already begun here are accepted, and the socket can then be closed with an empty queue."""
 
 from __future__ import annotations
 
 import socket
 import struct
 
-ATTACH, DETACH = 51, 68  # SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF: not in the standard library
-RETURN = 0x06  # BPF_RET | BPF_K
-SUCCESSOR = (
-    1  # sockets of a group are numbered by age; an index that is not there leaves the choice to the kernel
+ATTACH_CBPF, DETACH_BPF = (
+    51,
+    68,
+)  # SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF; the socket module lacks them
+BPF_RETURN = 0x06  # BPF_RET | BPF_K
+SUCCESSOR_INDEX = (
+    1  # sockets of a group are numbered by age; with an unused index the kernel chooses as usual
 )
 
 
 def steer_away(sock: socket.socket) -> bool:
-    """New connections go to the second oldest of the group, the successor. False: that cannot be had."""
-    import ctypes  # only needed in a drain
+    """Directs new connections to the second oldest socket of the group, the successor.
 
-    program = struct.pack("=HBBI", RETURN, 0, 0, SUCCESSOR)
-    held = ctypes.create_string_buffer(program, len(program))
+    Returns False if the kernel refuses the filter, or the socket is in no group."""
+    import ctypes  # imported here because only a drain needs it
+
+    program = struct.pack("=HBBI", BPF_RETURN, 0, 0, SUCCESSOR_INDEX)
+    buffer = ctypes.create_string_buffer(program, len(program))
     try:
-        sock.setsockopt(socket.SOL_SOCKET, ATTACH, struct.pack("@HP", 1, ctypes.addressof(held)))
+        sock.setsockopt(socket.SOL_SOCKET, ATTACH_CBPF, struct.pack("@HP", 1, ctypes.addressof(buffer)))
     except OSError:
         return False
     return True
 
 
-def spread(sock: socket.socket) -> None:
-    """Takes back what a process before this one has set for the group."""
+def detach_filter(sock: socket.socket) -> None:
+    """Removes a filter that an earlier process has attached to the group."""
     try:
-        sock.setsockopt(socket.SOL_SOCKET, DETACH, 0)
-    except OSError:  # there was none, or the kernel is older
+        sock.setsockopt(socket.SOL_SOCKET, DETACH_BPF, 0)
+    except OSError:  # no filter is attached, or the kernel does not support them
         return
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -1,9 +1,8 @@
-"""Configuration: the one place where it is read, checked and given its defaults.
+"""Configuration: reads it, checks it and applies the defaults.
 
-Owns the reading of the GW_* variables, of the JSON they point to, of the settings in it (the simulator's
-`Options`, which `simhost` has read here too) and of the operator's file that sets up the ENUM front.
-Every message of a `SettingsError` names the faulty key.
-"""
+Reads the GW_* variables, the JSON file they name and the settings in it (the simulator's `Options`, which
+`simhost` passes here too), and the operator's TOML file that configures the ENUM front. The message of
+every `SettingsError` names the faulty key."""
 
 from __future__ import annotations
 
@@ -17,20 +16,20 @@
 from pathlib import Path
 from typing import Any
 
-from harepick import interface as i
+from harepick import interface
 
 DEFAULT_SOCKETS = 1024
 DEFAULT_OPEN_CAP = 20_000
-DEFAULT_IDLE_CLOSE = 600.0
+DEFAULT_IDLE_CLOSE_S = 600.0
 
 
 class SettingsError(ValueError):
-    """A setting that is missing or makes no sense."""
+    """A setting is missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Where a party listens."""
+    """A host, as a numeric address, and a port."""
 
     host: str
     port: int
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """What the platform tells a border controller at its start."""
+    """The configuration that the platform gives a border controller at its start; times in seconds."""
 
     name: str
     listen: Address
@@ -51,14 +50,16 @@
     sockets: int
     open_cap: int
     idle_close: float
-    settings: i.Settings
-    ops: Address | None = None  # where the `ops` listener takes operators' calls; none if not set
-    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s; the package is loaded only with some
+    settings: interface.Settings
+    ops: Address | None = None  # of the `ops` listener; None: there is none
+    gaps: tuple[
+        Any, ...
+    ] = ()  # `GapRow`s of `harepick.gapping.config`, which is imported only if there are any
 
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """A DNS server that takes look-ups: a setup server to the module."""
+    """A DNS server that takes look-ups; the controller treats it as a setup server."""
 
     name: str
     address: Address
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Numbers under a prefix (`+` and digits) go to these upstreams first."""
+    """Numbers with a prefix (`+` and digits) go to these upstreams first."""
 
     prefix: str
     upstreams: tuple[str, ...]
@@ -75,7 +76,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EnumSettings:
-    """The ENUM front as an operator's file sets it up."""
+    """The configuration of the ENUM front; times in seconds. Fields of type `Any` hold types of packages
+    that are imported only if they are configured."""
 
     listen: Address
     suffix: str
@@ -87,17 +89,20 @@
     open_lookups: int
     seed: int | None
     upstreams: tuple[Upstream, ...]
-    settings: i.Settings
+    settings: interface.Settings
     routes: tuple[Route, ...] = ()
     gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s of `[[gap]]`
     maintenance: Any = None  # `harepick.fleet.maintenance.policy.MaintenanceSettings`; None: its defaults
     limits: tuple[Any, ...] = ()  # `harepick.fleet.limits.limit_buckets.Limit`s of `[[limit]]`
-    verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictSettings`; None: the defaults of one
-    membership: Any = None  # `harepick.fleet.membership.policy.MembershipSettings`; None: nobody is dropped
-    autogap: Any = None  # `harepick.gapping.auto_gaps.AutoGapSettings`; None: no gap sets itself
+    verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictSettings`; None: its defaults
+    membership: Any = (
+        None  # `harepick.fleet.membership.policy.MembershipSettings`; None: no member is ever dropped
+    )
+    autogap: Any = None  # `harepick.gapping.auto_gaps.AutoGapSettings`; None: no automatic gaps
 
 
-def _number(table: Mapping[str, Any], path: str, low: float, default: float | None = None) -> float:
+def _read_number(table: Mapping[str, Any], path: str, low: float, default: float | None = None) -> float:
+    """Returns the number at a dotted path, `low` at least; without a default, it must be there."""
     value: Any = table
     for part in path.split("."):
         value = value.get(part) if isinstance(value, Mapping) else None
@@ -110,11 +115,13 @@
     return float(value)
 
 
-def _whole(value: Any) -> bool:
+def _is_integer(value: Any) -> bool:
+    """Whether `value` is an int, and not a bool."""
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _table(table: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+def _read_table(table: Mapping[str, Any], key: str) -> Mapping[str, Any]:
+    """Returns the table under a key; empty if there is none."""
     value = table.get(key)
     if value is None:
         return {}
@@ -123,7 +130,8 @@
     return value
 
 
-def _text(table: Mapping[str, Any], key: str, default: str | None = None) -> str:
+def _read_text(table: Mapping[str, Any], key: str, default: str | None = None) -> str:
+    """Returns the text under a key; without a default, it must be there."""
     value = table.get(key, default)
     if value is None:
         raise SettingsError(f"setting {key} is missing")
@@ -133,7 +141,7 @@
 
 
 def parse_address(text: Any, key: str) -> Address:
-    """`host:port`, the host a numeric address; the error names the key."""
+    """Parses `host:port`, where the host is a numeric address; raises `SettingsError` naming the key."""
     host, _, port = str(text).rpartition(":")
     host = host.strip("[]")
     try:
@@ -146,36 +154,37 @@
     return Address(host, number)
 
 
-# The settings of the module
+# Settings of the controller
 
 
-def _classes(options: Mapping[str, Any]) -> tuple[i.CallClass, ...]:
+def _read_classes(options: Mapping[str, Any]) -> tuple[interface.CallClass, ...]:
+    """Reads the call classes and, by position, the pools that each may use."""
     rows = options.get("Classes")
     if not isinstance(rows, list) or not rows:
         raise SettingsError("setting Classes is missing")
-    pools = _table(options, "Extra").get("AllowedPools") or []
+    pools = _read_table(options, "Extra").get("AllowedPools") or []
     if not isinstance(pools, list):
         raise SettingsError(f"setting Extra.AllowedPools makes no sense: {pools!r}")
-    classes: list[i.CallClass] = []
+    classes: list[interface.CallClass] = []
     for n, row in enumerate(rows):
         if not isinstance(row, Mapping) or not isinstance(row.get("Name"), str):
             raise SettingsError(f"setting Classes[{n}].Name is missing")
         if any(c.name == row["Name"] for c in classes):
             raise SettingsError(f"setting Classes[{n}].Name is there twice: {row['Name']!r}")
         allowed = pools[n] if n < len(pools) else None
-        if allowed is not None and not (isinstance(allowed, list) and all(map(_whole, allowed))):
+        if allowed is not None and not (isinstance(allowed, list) and all(map(_is_integer, allowed))):
             raise SettingsError(f"setting Extra.AllowedPools[{n}] makes no sense: {allowed!r}")
         try:
             classes.append(
-                i.CallClass(
+                interface.CallClass(
                     name=row["Name"],
-                    aim=_number(row, "Promise", 1e-6),
-                    give_up=_number(row, "GiveUp", 1e-6),
-                    worth=_number(row, "Importance", 0.0),
-                    late_share=_number(row, "LateShare", 0.0, 0.0),
+                    aim=_read_number(row, "Promise", 1e-6),
+                    give_up=_read_number(row, "GiveUp", 1e-6),
+                    worth=_read_number(row, "Importance", 0.0),
+                    late_share=_read_number(row, "LateShare", 0.0, 0.0),
                     effect=str(row.get("Effect") or "free"),
                     pools=None if allowed is None else tuple(allowed),
-                    dedup_window=_number(row, "DedupWindow", 0.0, 0.0),
+                    dedup_window=_read_number(row, "DedupWindow", 0.0, 0.0),
                 )
             )
         except SettingsError as error:
@@ -183,59 +192,61 @@
     return tuple(classes)
 
 
-def read_settings(options: Any) -> i.Settings:
-    """Settings in the module's own terms; raises `SettingsError` naming what is wrong."""
+def read_settings(options: Any) -> interface.Settings:
+    """Translates the simulator's `Options` into the controller's settings; raises `SettingsError` naming
+    the key."""
     if not isinstance(options, Mapping):
         raise SettingsError("setting Options makes no sense")
-    bounds, extra = _table(options, "Bounds"), _table(options, "Extra")
+    bounds, extra = _read_table(options, "Bounds"), _read_table(options, "Extra")
     tenants = []
     projects = options.get("Projects") or []
     if not isinstance(projects, list) or not all(isinstance(row, Mapping) for row in projects):
         raise SettingsError(f"setting Projects makes no sense: {projects!r}")
     own_number = extra.get("SelfNo")
-    if own_number is not None and not _whole(own_number):
+    if own_number is not None and not _is_integer(own_number):
         raise SettingsError(f"setting Extra.SelfNo makes no sense: {own_number!r}")
-    fields = _table(options, "Report").get("Fields") or []
+    fields = _read_table(options, "Report").get("Fields") or []
     if not isinstance(fields, list):
         raise SettingsError(f"setting Report.Fields makes no sense: {fields!r}")
     for row in projects:
-        allowance, share = _number(row, "AllowancePerS", 0.0, 0.0), _number(row, "Share", 0.0, 0.0)
-        tenants.append(i.Tenant(str(row.get("Name")), allowance, share))
-    return i.Settings(
-        me=int(_number(options, "Me", 0, 0)),
-        fronts=int(_number(options, "Balancers", 1)),
-        classes=_classes(options),
-        cold_share=_number(options, "Rules.ColdFrom", 0.0),
-        warm_after=_number(options, "Rules.WarmAfter", 0.0),
-        tip_multiple=_number(options, "Rules.TipMultiple", 0.0),
-        tip_after=_number(options, "Rules.TipAfter", 1e-6),
-        drain_grace=_number(options, "Rules.DrainGrace", 0.0),
-        answer_grace=_number(options, "Rules.GraceToAnswer", 0.0, 0.0),
-        release_guard=_number(options, "Extra.Guard", 0.0),
-        try_limit=int(_number(options, "Bounds.TryLimit", 1)),
-        connect_timeout=_number(options, "Bounds.DialTimeout", 0.0, 0.5),
-        resend_after=_number(options, "Extra.Repeat", 0.0, 0.0),
+        allowance, share = _read_number(row, "AllowancePerS", 0.0, 0.0), _read_number(row, "Share", 0.0, 0.0)
+        tenants.append(interface.Tenant(str(row.get("Name")), allowance, share))
+    return interface.Settings(
+        me=int(_read_number(options, "Me", 0, 0)),
+        fronts=int(_read_number(options, "Balancers", 1)),
+        classes=_read_classes(options),
+        cold_share=_read_number(options, "Rules.ColdFrom", 0.0),
+        warm_after=_read_number(options, "Rules.WarmAfter", 0.0),
+        tip_multiple=_read_number(options, "Rules.TipMultiple", 0.0),
+        tip_after=_read_number(options, "Rules.TipAfter", 1e-6),
+        drain_grace=_read_number(options, "Rules.DrainGrace", 0.0),
+        answer_grace=_read_number(options, "Rules.GraceToAnswer", 0.0, 0.0),
+        release_guard=_read_number(options, "Extra.Guard", 0.0),
+        try_limit=int(_read_number(options, "Bounds.TryLimit", 1)),
+        connect_timeout=_read_number(options, "Bounds.DialTimeout", 0.0, 0.5),
+        resend_after=_read_number(options, "Extra.Repeat", 0.0, 0.0),
         tenants=tuple(tenants),
-        over_share_worth=_number(options, "OverShareWorth", 0.0, 1.0),
+        over_share_worth=_read_number(options, "OverShareWorth", 0.0, 1.0),
         may_cancel=bool(bounds.get("Cancelling")),
         may_probe=bool(bounds.get("Probes")),
         may_tell=bool(bounds.get("MayTell")),
         may_advise=bool(bounds.get("RetryAfter")),
-        max_advice=_number(options, "Bounds.MaxRetryAfter", 0.0, 0.0),
-        marks_redials=bool(_table(options, "Callers").get("MarksRetry")),
+        max_advice=_read_number(options, "Bounds.MaxRetryAfter", 0.0, 0.0),
+        marks_redials=bool(_read_table(options, "Callers").get("MarksRetry")),
         own_number=-1 if own_number is None else own_number,
         must_ask=options.get("MembershipMode") == "ask",
-        ask_within=_number(options, "Rules.MustAskIn", 0.0, 10.0),
+        ask_within=_read_number(options, "Rules.MustAskIn", 0.0, 10.0),
         report_fields=tuple(fields),
         zone=str(options.get("Locality") or ""),
     )
 
 
-# The platform's variables and its JSON
+# Configuration by the platform
 
 
 def read_platform(environ: Mapping[str, str]) -> PlatformSettings:
-    """What GW_CONFIG, GW_NAME and GW_LISTEN say; the variables go before the file."""
+    """Reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN and GW_OPS take precedence over it. Raises
+    `SettingsError`."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise SettingsError("variable GW_CONFIG is missing")
@@ -247,14 +258,14 @@
         raise SettingsError(f"variable GW_CONFIG: {path} is not JSON: {error}") from None
     if not isinstance(config, Mapping):
         raise SettingsError(f"variable GW_CONFIG: {path} holds no JSON object")
-    settings = _table(config, "settings")
+    settings = _read_table(config, "settings")
     if not settings:
         raise SettingsError("setting settings is missing")
     known = config.get("known")
     if not isinstance(known, Mapping) or not isinstance(known.get("batch"), list):
         raise SettingsError("setting known.batch is missing")
-    _number(known, "offset", 0)
-    seed = _text(config, "seed")
+    _read_number(known, "offset", 0)
+    seed = _read_text(config, "seed")
     try:
         seed_number = int(seed, 16)
     except ValueError:
@@ -262,17 +273,17 @@
     try:
         module = read_settings(settings)
         return PlatformSettings(
-            name=environ.get("GW_NAME") or _text(config, "name"),
-            listen=parse_address(environ.get("GW_LISTEN") or _text(config, "listen"), "listen"),
-            bus=parse_address(_text(config, "bus"), "bus"),
+            name=environ.get("GW_NAME") or _read_text(config, "name"),
+            listen=parse_address(environ.get("GW_LISTEN") or _read_text(config, "listen"), "listen"),
+            bus=parse_address(_read_text(config, "bus"), "bus"),
             known=known,
             seed=seed_number,
-            sockets=int(_number(config, "limits.sockets", 32, DEFAULT_SOCKETS)),
-            open_cap=int(_number(settings, "Bounds.OpenCap", 1, DEFAULT_OPEN_CAP)),
-            idle_close=_number(settings, "Bounds.IdleClose", 0.001, DEFAULT_IDLE_CLOSE),
+            sockets=int(_read_number(config, "limits.sockets", 32, DEFAULT_SOCKETS)),
+            open_cap=int(_read_number(settings, "Bounds.OpenCap", 1, DEFAULT_OPEN_CAP)),
+            idle_close=_read_number(settings, "Bounds.IdleClose", 0.001, DEFAULT_IDLE_CLOSE_S),
             settings=module,
-            gaps=_gaps(config.get("gaps"), "gaps", "platform"),
-            ops=_ops(
+            gaps=_read_gaps(config.get("gaps"), "gaps", "platform"),
+            ops=_read_ops(
                 environ.get("GW_OPS") or config.get("ops"),
                 environ.get("GW_LISTEN") or config["listen"],
             ),
@@ -283,9 +294,10 @@
         raise SettingsError(f"setting settings makes no sense: {error}") from None
 
 
-def _gaps(rows: Any, where: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
-    """Number gapping, as `harepick/gapping/config.py` reads it; nothing of it is loaded without gaps. With
-    `call_class`, the one class there is, all that can be wrong with them but their time is looked for."""
+def _read_gaps(rows: Any, where: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
+    """Reads number gaps; the gapping package is imported only if there are any.
+
+    With `call_class`, the only class of the front, everything but the gaps' times is checked as well."""
     if not rows:
         return ()
     from harepick.gapping.config import read_rows
@@ -302,8 +314,8 @@
         raise SettingsError(f"setting {error}") from None
 
 
-def _ops(text: Any, listen: str) -> Address | None:
-    """`host:port`, or `:port` on the host of `listen`."""
+def _read_ops(text: Any, listen: str) -> Address | None:
+    """Parses `host:port`, or `:port` on the host of `listen`; None if not set."""
     if text is None or text == "":
         return None
     if isinstance(text, str) and text.startswith(":"):
@@ -314,10 +326,10 @@
     return where
 
 
-# The operator's file
+# Configuration by an operator's file
 
-# Sections that hold for all instances of a store, and need one.
-FLEET = ("maintenance", "limit", "verdicts", "autogap", "membership")
+# Sections that apply to all instances of a store, and are allowed only in its configuration.
+FLEET_SECTIONS = ("maintenance", "limit", "verdicts", "autogap", "membership")
 KNOWN_KEYS = {
     "enum": {"listen", "suffix", "class", "deadline_ms", "edns_size", "tcp_clients", "tcp_idle_s", "seed"},
     "class": {"aim_ms", "worth", "late_share"},
@@ -325,20 +337,16 @@
     "upstream": {"name", "address", "draining"},
     "route": {"prefix", "upstreams"},
 }
-INSTANCE_KEYS = {
-    "listen",
-    "seed",
-    "tcp_clients",
-    "tcp_idle_s",
-}  # of [enum]: each instance's own, not the store's
+# Keys of [enum] that each instance configures for itself, outside the store's configuration.
+INSTANCE_KEYS = {"listen", "seed", "tcp_clients", "tcp_idle_s"}
 MAX_UPSTREAMS = 16
 MAX_ROUTES = 1_000
-PREFIX = re.compile(r"\+[0-9]{1,15}$")
-LABEL = re.compile(r"[0-9A-Za-z_]([0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?$")
+ROUTE_PREFIX = re.compile(r"\+[0-9]{1,15}$")
+DNS_LABEL = re.compile(r"[0-9A-Za-z_]([0-9A-Za-z_-]{0,61}[0-9A-Za-z_])?$")
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """A TOML file as a table; raises `SettingsError`."""
+    """Reads a TOML file; raises `SettingsError`."""
     try:
         return tomllib.loads(Path(path).read_text())
     except OSError as error:
@@ -348,19 +356,19 @@
 
 
 def read_operator_file(path: str) -> EnumSettings:
-    """The ENUM front as a TOML file sets it up; raises `SettingsError` naming the faulty key."""
+    """Reads the ENUM front's configuration from a TOML file; raises `SettingsError` naming the faulty key."""
     table = read_toml(path)
-    table.pop("store", None)  # `harepick.store.settings` reads it, where it is installed
-    for key in FLEET:
+    table.pop("store", None)  # read by `harepick.store.settings`, which may not be installed
+    for key in FLEET_SECTIONS:
         if key in table:
             raise SettingsError(f"setting {key} belongs in the store's configuration")
     return read_enum(table)
 
 
 @lru_cache(maxsize=4)
-def _parsed(text: str) -> Mapping[str, Any]:
-    """The same text is read where it is proposed and where it takes effect. Not to be changed by the
-    reader."""
+def _parse_store_config(text: str) -> Mapping[str, Any]:
+    """Parses TOML. Cached, as the same text is read when it is proposed and when it takes effect; callers
+    must not change the result."""
     try:
         return tomllib.loads(text)
     except ValueError as error:
@@ -368,22 +376,23 @@
 
 
 def read_store_config(text: str, own: Mapping[str, Any] | None = None) -> EnumSettings:
-    """A configuration of the replicated store, with an instance's `own` keys of [enum] beside it.
+    """Reads a configuration of the replicated store, with an instance's `own` keys of [enum] added.
 
-    Raises `SettingsError` naming the faulty key, also for a key that is an instance's own."""
-    table = _parsed(text)
+    Raises `SettingsError` naming the faulty key, also if `text` contains a key that belongs to the
+    instance."""
+    table = _parse_store_config(text)
     if "store" in table:
         raise SettingsError("setting store belongs in the instance's own file")
-    front = _table(table, "enum")
+    front = _read_table(table, "enum")
     for key in sorted(INSTANCE_KEYS & front.keys()):
         raise SettingsError(f"setting enum.{key} belongs in the instance's own file")
     return read_enum({**table, "enum": {**front, **(own or {})}})
 
 
 def read_enum(table: Mapping[str, Any]) -> EnumSettings:
-    """The ENUM front as a table sets it up; raises `SettingsError` naming the faulty key."""
+    """Reads the ENUM front's configuration from a table; raises `SettingsError` naming the faulty key."""
     for section, value in table.items():
-        if section in ("gap", *FLEET):  # their readers name the keys they know
+        if section in ("gap", *FLEET_SECTIONS):  # their readers check the keys
             continue
         if section not in KNOWN_KEYS:
             raise SettingsError(f"setting {section} is not known")
@@ -392,61 +401,61 @@
                 raise SettingsError(f"setting {section} makes no sense: {row!r}")
             for key in sorted(row.keys() - KNOWN_KEYS[section]):
                 raise SettingsError(f"setting {section}.{key} is not known")
-    front = _table(table, "enum")
-    deadline = _number(table, "enum.deadline_ms", 100, 2000) / 1000.0
-    aim = _number(table, "class.aim_ms", 10, 1000) / 1000.0
-    name = _text(front, "class", "look-up")
-    settings = i.Settings(
+    front = _read_table(table, "enum")
+    deadline = _read_number(table, "enum.deadline_ms", 100, 2000) / 1000.0
+    aim = _read_number(table, "class.aim_ms", 10, 1000) / 1000.0
+    name = _read_text(front, "class", "look-up")
+    settings = interface.Settings(
         me=0,
         fronts=1,
         classes=(
-            i.CallClass(
+            interface.CallClass(
                 name=name,
                 aim=min(aim, deadline),
                 give_up=deadline,
-                worth=_number(table, "class.worth", 0.0, 1.0),
-                late_share=_number(table, "class.late_share", 0.0, 0.25),
+                worth=_read_number(table, "class.worth", 0.0, 1.0),
+                late_share=_read_number(table, "class.late_share", 0.0, 0.25),
             ),
         ),
         cold_share=1.0,
-        warm_after=0.0,  # a DNS server is no cold processor: nothing to warm up is known of
+        warm_after=0.0,  # DNS servers are taken to have no warm-up phase
         tip_multiple=2.0,
         tip_after=1.5,
-        drain_grace=_number(table, "rules.drain_grace_ms", 0, 250) / 1000.0,
-        answer_grace=0.02,  # an attempt cut off by the deadline is answered within this
-        release_guard=_number(table, "rules.release_ms", 0, 300) / 1000.0,
-        try_limit=int(_number(table, "rules.try_limit", 1, 4)),
-        connect_timeout=_number(table, "rules.connect_timeout_ms", 1, 500) / 1000.0,
+        drain_grace=_read_number(table, "rules.drain_grace_ms", 0, 250) / 1000.0,
+        answer_grace=0.02,  # to answer a caller whose attempt the deadline ends
+        release_guard=_read_number(table, "rules.release_ms", 0, 300) / 1000.0,
+        try_limit=int(_read_number(table, "rules.try_limit", 1, 4)),
+        connect_timeout=_read_number(table, "rules.connect_timeout_ms", 1, 500) / 1000.0,
         may_cancel=True,
         may_advise=True,
-        max_advice=_number(table, "rules.stay_away_ms", 0, 2000) / 1000.0,
+        max_advice=_read_number(table, "rules.stay_away_ms", 0, 2000) / 1000.0,
     )
-    seed = _number(table, "enum.seed", 0, -1)
-    listen = parse_address(_text(front, "listen", "127.0.0.1:5353"), "enum.listen")
-    upstreams = _upstreams(table.get("upstream"))
+    seed = _read_number(table, "enum.seed", 0, -1)
+    listen = parse_address(_read_text(front, "listen", "127.0.0.1:5353"), "enum.listen")
+    upstreams = _read_upstreams(table.get("upstream"))
     return EnumSettings(
         listen=listen,
-        suffix=_suffix(_text(front, "suffix", "e164.arpa.")),
+        suffix=_read_suffix(_read_text(front, "suffix", "e164.arpa.")),
         call_class=name,
         deadline=deadline,
-        edns_size=int(_number(table, "enum.edns_size", 512, 1232)),
-        tcp_clients=int(_number(table, "enum.tcp_clients", 0, 128)),
-        tcp_idle=_number(table, "enum.tcp_idle_s", 0.1, 10.0),
-        open_lookups=int(_number(table, "rules.open_cap", 1, 10_000)),
+        edns_size=int(_read_number(table, "enum.edns_size", 512, 1232)),
+        tcp_clients=int(_read_number(table, "enum.tcp_clients", 0, 128)),
+        tcp_idle=_read_number(table, "enum.tcp_idle_s", 0.1, 10.0),
+        open_lookups=int(_read_number(table, "rules.open_cap", 1, 10_000)),
         seed=None if seed < 0 else int(seed),
         upstreams=upstreams,
         settings=settings,
-        routes=_routes(table.get("route", []), {u.name for u in upstreams}),
-        gaps=_gaps(table.get("gap"), "gap", "e164", name),
-        maintenance=_maintenance(table.get("maintenance"), {u.name for u in upstreams}),
-        limits=_limits(table.get("limit"), {u.name for u in upstreams}),
-        verdicts=_verdicts(table.get("verdicts")),
-        autogap=_autogap(table.get("autogap")),
-        membership=_membership(table.get("membership")),
+        routes=_read_routes(table.get("route", []), {u.name for u in upstreams}),
+        gaps=_read_gaps(table.get("gap"), "gap", "e164", name),
+        maintenance=_read_maintenance(table.get("maintenance"), {u.name for u in upstreams}),
+        limits=_read_limits(table.get("limit"), {u.name for u in upstreams}),
+        verdicts=_read_verdicts(table.get("verdicts")),
+        autogap=_read_autogap(table.get("autogap")),
+        membership=_read_membership(table.get("membership")),
     )
 
 
-def _limits(rows: Any, servers: set[str]) -> tuple[Any, ...]:
+def _read_limits(rows: Any, servers: set[str]) -> tuple[Any, ...]:
     if rows is None:
         return ()
     from harepick.fleet.limits.settings import read_limits
@@ -454,7 +463,7 @@
     return read_limits(rows, servers)
 
 
-def _verdicts(table: Any) -> Any:
+def _read_verdicts(table: Any) -> Any:
     if table is None:
         return None
     from harepick.fleet.limits.settings import read_verdicts
@@ -462,7 +471,7 @@
     return read_verdicts(table)
 
 
-def _autogap(table: Any) -> Any:
+def _read_autogap(table: Any) -> Any:
     if table is None:
         return None
     from harepick.gapping.config import read_autogap
@@ -474,7 +483,7 @@
         raise SettingsError(f"setting {error}") from None
 
 
-def _membership(table: Any) -> Any:
+def _read_membership(table: Any) -> Any:
     if table is None:
         return None
     from harepick.fleet.membership.settings import read_membership
@@ -482,8 +491,8 @@
     return read_membership(table)
 
 
-def _maintenance(table: Any, servers: set[str]) -> Any:
-    """What may be out for work at once; nothing of its reader is loaded without it."""
+def _read_maintenance(table: Any, servers: set[str]) -> Any:
+    """Reads what may be in maintenance at once; the package is imported only if that is configured."""
     if table is None:
         return None
     from harepick.fleet.maintenance.settings import read_maintenance
@@ -491,14 +500,16 @@
     return read_maintenance(table, servers)
 
 
-def _suffix(text: str) -> str:
+def _read_suffix(text: str) -> str:
+    """Checks that `text` is a domain name."""
     labels = text.rstrip(".").split(".")
-    if len(text) > 200 or not all(LABEL.match(label) for label in labels):
+    if len(text) > 200 or not all(DNS_LABEL.match(label) for label in labels):
         raise SettingsError(f"setting enum.suffix is no domain name: {text!r}")
     return text
 
 
-def _upstreams(rows: Any) -> tuple[Upstream, ...]:
+def _read_upstreams(rows: Any) -> tuple[Upstream, ...]:
+    """Reads `[[upstream]]`; the error names the row and the key."""
     if not isinstance(rows, list) or not rows:
         raise SettingsError("setting upstream is missing")
     if len(rows) > MAX_UPSTREAMS:
@@ -506,11 +517,11 @@
     upstreams: list[Upstream] = []
     for n, row in enumerate(rows):
         try:
-            where = parse_address(_text(row, "address"), "address")
+            where = parse_address(_read_text(row, "address"), "address")
             draining = row.get("draining", False)
             if not isinstance(draining, bool):
                 raise SettingsError(f"setting draining makes no sense: {draining!r}")
-            upstream = Upstream(_text(row, "name"), where, draining)
+            upstream = Upstream(_read_text(row, "name"), where, draining)
             if any(u.name == upstream.name for u in upstreams):
                 raise SettingsError(f"setting name is there twice: {upstream.name!r}")
         except SettingsError as error:
@@ -519,7 +530,8 @@
     return tuple(upstreams)
 
 
-def _routes(rows: Any, known: set[str]) -> tuple[Route, ...]:
+def _read_routes(rows: Any, known: set[str]) -> tuple[Route, ...]:
+    """Reads `[[route]]`; the error names the row and the key."""
     if not isinstance(rows, list):
         raise SettingsError(f"setting route makes no sense: {rows!r}")
     if len(rows) > MAX_ROUTES:
@@ -527,7 +539,7 @@
     routes: dict[str, Route] = {}
     for n, row in enumerate(rows):
         prefix, upstreams = row.get("prefix"), row.get("upstreams")
-        if not isinstance(prefix, str) or not PREFIX.match(prefix):
+        if not isinstance(prefix, str) or not ROUTE_PREFIX.match(prefix):
             raise SettingsError(f"setting route[{n}].prefix is no + and digits: {prefix!r}")
         if prefix in routes:
             raise SettingsError(f"setting route[{n}].prefix is there twice: {prefix!r}")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -25,11 +25,11 @@
 Found = TypeVar("Found")
 
 
-def until(what: Callable[[], Found | None], within: float = 10.0, why: str = "a condition") -> Found:
+def until(condition: Callable[[], Found | None], within: float = 10.0, why: str = "a condition") -> Found:
     """Waits for a condition; fails with its name if it does not come true in time."""
     end = time.monotonic() + within
     while time.monotonic() < end:
-        if found := what():
+        if found := condition():
             return found
         time.sleep(0.01)
     raise AssertionError(f"waited {within} s for {why}")
@@ -50,7 +50,7 @@
         connection.close()
 
 
-def figures(port: int) -> dict[str, float]:
+def metrics(port: int) -> dict[str, float]:
     """The exposition of `GET /api/telemetry` as name{labels} -> value."""
     status, body = ops_call(port, "/api/telemetry")
     assert status == 200
@@ -66,33 +66,33 @@
     """One connection, read message by message with the program's own codecs."""
 
     def __init__(self, sock: socket.socket, decoder: binary.Decoder | sip.Decoder) -> None:
-        self.sock, self.decoder, self.inbox = sock, decoder, []  # type: ignore[var-annotated]
+        self.sock, self.decoder, self.received = sock, decoder, []  # type: ignore[var-annotated]
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def next(self, want: Callable[[Any], bool] = lambda _: True, within: float = 5.0) -> Any:
+    def next(self, matches: Callable[[Any], bool] = lambda _: True, within: float = 5.0) -> Any:
         """The next message that fits; the others are kept."""
         end = time.monotonic() + within
         while True:
-            for message in self.inbox:
-                if want(message):
-                    self.inbox.remove(message)
+            for message in self.received:
+                if matches(message):
+                    self.received.remove(message)
                     return message
             self.sock.settimeout(max(0.001, end - time.monotonic()))
             try:
                 data = self.sock.recv(65536)
             except TimeoutError:
-                raise AssertionError(f"nothing that fits came; kept: {self.inbox}") from None
+                raise AssertionError(f"nothing that fits came; kept: {self.received}") from None
             if not data:
                 raise EOFError
-            self.inbox += self.decoder.feed(data)
+            self.received += self.decoder.feed(data)
 
     def silent(self, span: float) -> bool:
         """Nothing comes for so long."""
         with suppress(AssertionError):
             message = self.next(within=span)
-            self.inbox.insert(0, message)
+            self.received.insert(0, message)
             return False
         return True
 
@@ -108,43 +108,43 @@
 
     def call(
         self,
-        patience_ms: int = 4000,
-        dest: int = 0,
+        time_limit_ms: int = 4000,
+        destination: int = 0,
         *,
-        patience: str = "",
-        ident: bytes = b"",
+        time_limit: str = "",
+        call_id: bytes = b"",
         **changes: bytes,
     ) -> bytes:
-        call = ident or secrets.token_bytes(8)
+        call = call_id or secrets.token_bytes(8)
         fields = {
-            binary.CLASS: changes.get("cls", b"a"),
-            binary.PATIENCE: (patience or str(patience_ms)).encode(),
+            binary.CLASS: changes.get("class_name", b"a"),
+            binary.TIME_LIMIT: (time_limit or str(time_limit_ms)).encode(),
             binary.NUMBER: changes.get("number", b"7f3a9c21e0b4d655"),
-            binary.FIGURES: b"dest:%d;width:1;via:-1" % dest,
+            binary.ATTRIBUTES: b"dest:%d;width:1;via:-1" % destination,
             binary.DESCRIPTION: b"offer\r\n",
         }
         self.send(binary.Message(binary.SET_UP, call, fields).encode())
         return call
 
-    def ask(self, kind: int, call: bytes, cause: int) -> None:
+    def send_request(self, kind: int, call: bytes, cause: int) -> None:
         self.send(binary.Message(kind, call, {binary.CAUSE: bytes([cause])}).encode())
 
-    def told(self, call: bytes, within: float = 5.0) -> binary.Message:
+    def final_answer(self, call: bytes, within: float = 5.0) -> binary.Message:
         return self.next(lambda m: m.call == call and m.type in (binary.ANSWER, binary.RELEASE), within)  # type: ignore[no-any-return]
 
 
-class Setup:
+class SetupServer:
     """A setup server that does what the test says."""
 
     def __init__(self) -> None:
         self.listener = listen()
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
-        self.lines: list[Peer] = []
+        self.connections: list[Peer] = []
 
     def accept(self, within: float = 5.0) -> Peer:
         self.listener.settimeout(within)
-        self.lines.append(Peer(self.listener.accept()[0], sip.Decoder()))
-        return self.lines[-1]
+        self.connections.append(Peer(self.listener.accept()[0], sip.Decoder()))
+        return self.connections[-1]
 
     def invited(self, within: float) -> tuple[Peer, sip.Message] | None:
         """The next set-up on any line, new ones included: a set-up goes on another line while the last one
@@ -153,7 +153,7 @@
         while True:
             with suppress(TimeoutError):
                 self.accept(within=0.005)
-            for line in self.lines:
+            for line in self.connections:
                 with suppress(AssertionError, OSError, EOFError):
                     return line, invite(line, within=0.005)
             if time.monotonic() >= end:
@@ -200,7 +200,7 @@
         self.process.send_signal(signal.SIGUSR1)
         return until(lambda: self.events("counters")[before:], why="the counters")[0]
 
-    def counted(self, name: str, least: int = 1, within: float = 10.0) -> int:
+    def wait_for_counter(self, name: str, least: int = 1, within: float = 10.0) -> int:
         """A counter once it has come so far; asked for less often than the log leaves lines out."""
         end = time.monotonic() + within
         while (value := self.counters().get(name, 0)) < least:
@@ -219,12 +219,12 @@
 
 
 @contextmanager
-def program(*words: str, **environ: str) -> Iterator[Program]:
+def program(*arguments: str, **environ: str) -> Iterator[Program]:
     with tempfile.TemporaryDirectory() as folder:
         log = Path(folder) / "log"
         with log.open("wb") as out:
             process = subprocess.Popen(
-                [sys.executable, "-m", "harepick", *words],
+                [sys.executable, "-m", "harepick", *arguments],
                 cwd=ROOT,
                 env=os.environ | environ,
                 stdout=out,
@@ -243,11 +243,11 @@
     """What the platform gives a border controller: its configuration, its bus and its servers."""
 
     def __init__(self, servers: int = 1) -> None:
-        self.setups = [Setup() for _ in range(servers)]
+        self.servers = [SetupServer() for _ in range(servers)]
         self.bus = listen()
         self.port = free_port()
         self.ops = free_port()
-        self.rows = [row(f"s{n}", s.address, n) for n, s in enumerate(self.setups)]
+        self.rows = [row(f"s{n}", s.address, n) for n, s in enumerate(self.servers)]
         options = json.loads(json.dumps(OPTIONS))
         options["Bounds"] |= {"RetryAfter": True, "MaxRetryAfter": 2.0, "OpenCap": 1000}
         self.config: dict[str, Any] = {
@@ -269,7 +269,7 @@
             with program(GW_CONFIG=str(self.path), **environ) as running:
                 yield running
 
-    def follower(self) -> socket.socket:
+    def accept_bus_connection(self) -> socket.socket:
         """The bus's end of the program's connection, once it has said what it has."""
         self.bus.settimeout(5.0)
         return self.bus.accept()[0]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -84,4 +84,4 @@
 
 def test_the_state_of_a_group_is_read_and_noise_in_it_left_out() -> None:
     head = b"NOTIFY sip:exchange@net SIP/2.0\r\nP-Load: free:27;size:278;odd:x;\r\nContent-Length: 0\r\n\r\n"
-    assert sip.load(next(iter(sip.Decoder().feed(head)))) == {"free": 27.0, "size": 278.0}
+    assert sip.parse_load(next(iter(sip.Decoder().feed(head)))) == {"free": 27.0, "size": 278.0}
--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -21,7 +21,7 @@
 def offered(caller: peers.Caller, number: bytes, count: int, gap: float) -> list[bytes]:
     calls = []
     for _ in range(count):
-        calls.append(caller.call(patience_ms=5000, number=number))
+        calls.append(caller.call(time_limit_ms=5000, number=number))
         time.sleep(gap)
     return calls
 
@@ -29,7 +29,7 @@
 def invites(place: peers.Platform, within: float = 0.5) -> list[sip.Message]:
     """Every set-up that reached the server on its lines, each answered so that its call stands."""
     found = []
-    while asked := place.setups[0].invited(within):
+    while asked := place.servers[0].invited(within):
         peers.reply(*asked, 200, b"answer")
         found.append(asked[1])
     return found
@@ -44,15 +44,15 @@
         calls = offered(caller, CLAIM, 12, 0.1)  # 1.2 s: three slots of 0.5 s at most
         reached = invites(place)
         spent = time.monotonic() - began
-        refused = [caller.told(call) for call in calls if call.hex() not in {m.call for m in reached}]
+        refused = [caller.final_answer(call) for call in calls if call.hex() not in {m.call for m in reached}]
         assert refused and all(m.parameters[binary.CAUSE] == bytes([42]) for m in refused)
-        seen = peers.figures(place.ops)
+        seen = peers.metrics(place.ops)
         gap = 'edge_gw_gap_calls_total{gap="radio",result="%s"}'
         passed, gapped = seen[gap % "passed"], seen[gap % "refused"]
         assert seen[gap % "offered"] == 12 and passed + gapped == 12
         assert 1 <= len(reached) <= passed <= int(spent / 0.5) + 2  # one a slot; the module may refuse too
         assert gapped == running.counters()["answers.gapped"] >= 12 - int(spent / 0.5) - 2
-        told_back = sorted(int(m.parameters[binary.STAY_AWAY]) for m in refused)
+        told_back = sorted(int(m.parameters[binary.RETRY_AFTER]) for m in refused)
         assert told_back[0] > 0 and told_back[int(gapped) - 1] <= 1000  # the slot's rest and one more at most
         assert len(set(told_back)) > 1, "refused callers are not told to come back together"
         others = offered(caller, OTHER, 3, 0.0)  # another number is not gapped
@@ -65,20 +65,20 @@
     place.config["gaps"] = [{**GAP, "interval_s": "none"}]
     with place.run() as running:
         caller = peers.Caller(place.port)
-        assert caller.told(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
+        assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
         place.config["gaps"] = [{**GAP, "interval_s": 1, "until": 1_000}]  # an end in the past
         place.path.write_text(json.dumps(place.config))
         running.process.send_signal(signal.SIGHUP)
         said = peers.until(lambda: running.events("reload_failed"), why="the refusal")[0]
         assert "gaps" in said["error"] and "end is past" in said["error"]
-        assert caller.told(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
+        assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
         del place.config["gaps"]
         place.path.write_text(json.dumps(place.config))
         running.process.send_signal(signal.SIGHUP)
         told = peers.until(lambda: running.events("gaps")[1:], why="the lift")[0]
         assert told["lifted"] == ["radio"] and told["now"] == 0
         call = caller.call(number=CLAIM)
-        server = place.setups[0].accept()
+        server = place.servers[0].accept()
         assert peers.invite(server).call == call.hex()
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -34,58 +34,58 @@
         self.log = Log(fd=1)
         self.connect_timeout = 0.5
         self.idle_close = 600.0
-        self.room = True
+        self.may_connect = True
 
 
-def link() -> tuple[ConnectionPool, Owner, ServerConnection]:
+def pool_with_standing_call() -> tuple[ConnectionPool, Owner, ServerConnection]:
     """A link on which one call stands, at a server that has been silent for too long."""
     owner = Owner()
-    made = ConnectionPool(owner, cast(TaskGroup, None), "s0", Address("127.0.0.1", 5))
-    line = ServerConnection(made)
-    line.up = True
-    made._lines.append(line)
-    made.stands("c1", b"77", line)
-    made.heard = time.time() - SERVER_SILENCE_S - 1.0
-    return made, owner, line
+    pool = ConnectionPool(owner, cast(TaskGroup, None), "s0", Address("127.0.0.1", 5))
+    connection = ServerConnection(pool)
+    connection.connected = True
+    pool._connections.append(connection)
+    pool.call_stands("c1", b"77", connection)
+    pool.last_heard = time.time() - SERVER_SILENCE_S - 1.0
+    return pool, owner, connection
 
 
 async def test_a_connection_that_comes_up_and_stays_silent_proves_no_life() -> None:
     """The kernel of a vanished machine may still take some: that put the end of its calls off until the list
     told it, seconds later."""
-    made, owner, _ = link()
-    made._failure()
-    made.came_up(ServerConnection(made))
+    pool, owner, _ = pool_with_standing_call()
+    pool._connection_failed()
+    pool.connection_opened(ServerConnection(pool))
     assert owner.counters["servers.died"] == 0
     time.sleep(FAILURE_CONFIRM_S + 0.01)
-    made._failure()
-    assert owner.counters["servers.died"] == 1 and not made.standing
+    pool._connection_failed()
+    assert owner.counters["servers.died"] == 1 and not pool.standing
 
 
 async def test_a_word_between_two_failed_connections_proves_life() -> None:
-    made, owner, _ = link()
-    made._failure()
-    made.heard = time.time()
+    pool, owner, _ = pool_with_standing_call()
+    pool._connection_failed()
+    pool.last_heard = time.time()
     time.sleep(FAILURE_CONFIRM_S + 0.01)
-    made._failure()
-    assert owner.counters["servers.died"] == 0 and made.standing
+    pool._connection_failed()
+    assert owner.counters["servers.died"] == 0 and pool.standing
 
 
 async def test_a_refusal_is_no_sign_of_life() -> None:
     """Errors went on to come from a server whose machine had vanished with all its calls."""
-    made, owner, line = link()
-    made._failure()
+    pool, owner, connection = pool_with_standing_call()
+    pool._connection_failed()
     error = b"SIP/2.0 500 No\r\nCall-ID: c2\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n"
-    line.heard = time.time()
+    connection.last_heard = time.time()
     for message in sip.Decoder().feed(error):
-        await line._take(message)
+        await connection._handle_message(message)
     time.sleep(FAILURE_CONFIRM_S + 0.01)
-    made._failure()
+    pool._connection_failed()
     assert owner.counters["servers.died"] == 1
 
 
 async def test_without_room_for_another_line_set_ups_share_one() -> None:
-    made, owner, line = link()
-    owner.room = False
+    pool, owner, connection = pool_with_standing_call()
+    owner.may_connect = False
     for call in ("c2", "c3", "c4"):
-        assert made.place(Attempt(call, 0, "s0", 0.0, 1.0, None, lambda attempt, now: True))
-    assert made.lines == 1 and line.load == 3
+        assert pool.place(Attempt(call, 0, "s0", 0.0, 1.0, None, lambda attempt, now: True))
+    assert pool.connection_count == 1 and connection.load == 3
