--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -19,100 +19,100 @@
 
 from harepick.fleet.ports import free_port
 from harepick.net import binary, sip
-from harepick.net.callers import _close
-from harepick.net.steering import spread, steer_away
+from harepick.net.callers import _close_listener
+from harepick.net.steering import detach_filter, steer_away
 from tests import peers
-from tests.test_platform import stand
+from tests.test_platform import establish_call
 
 LANE = 'edge_gw_downstream_requests_total{lane="a",result="%s"}'
 
 
 def test_ready_and_figures_follow_what_the_callers_were_answered() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        peers.until(lambda: running.ready(place.ops), why="readiness")
-        caller = peers.Caller(place.port)
-        call, server = stand(place, caller)
+    platform = peers.Platform()
+    with platform.run() as running:
+        peers.until(lambda: running.ready(platform.ops), why="readiness")
+        caller = peers.Caller(platform.port)
+        call, server = establish_call(platform, caller)
         waiting = caller.call()
         refused = peers.invite(server)
-        peers.until(lambda: peers.figures(place.ops)["edge_gw_pending"] == 2, why="one standing, one owed")
+        peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 2, why="one standing, one owed")
         peers.reply(server, refused, 503, note=b"processor_full")
         sent = 2
-        while tried := place.setups[0].invited(within=1.0):  # the module may try the same server again
+        while tried := platform.servers[0].invited(within=1.0):  # the module may try the same server again
             peers.reply(*tried, 503, note=b"processor_full")
             sent += 1
-        answered = caller.told(waiting, within=10.0)
-        seen = peers.figures(place.ops)
+        answered = caller.final_answer(waiting, within=10.0)
+        seen = peers.metrics(platform.ops)
         result = "rejected" if answered.parameters[binary.CAUSE] == b"\x2a" else "failed"
         assert seen[LANE % "completed"] == 1 and seen[LANE % result] == 1
         assert seen["edge_gw_upstream_requests_total"] == sent
         assert seen["edge_gw_pending"] == 1  # the call that stands has not ended
         server.send(sip.bye(b"7f3a9c21e0b4d655", call.hex(), 7, 16))
-        assert caller.told(call).type == binary.RELEASE
-        peers.until(lambda: peers.figures(place.ops)["edge_gw_pending"] == 0, why="nothing pending")
+        assert caller.final_answer(call).type == binary.RELEASE
+        peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 0, why="nothing pending")
         assert seen["edge_gw_members"] == 1
         assert seen["edge_gw_config_reloads_total"] == seen["edge_gw_config_reload_errors_total"] == 0
-        bus = place.follower()
+        bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 1\n"
-        draining = peers.row("s0", place.setups[0].address, 0, "DRAINING")
+        draining = peers.row("s0", platform.servers[0].address, 0, "DRAINING")
         fresh = peers.row("s1", "127.0.0.1:9", 1)
         bus.sendall(json.dumps(peers.event(2, draining, fresh)).encode() + b"\n")
-        peers.until(lambda: peers.figures(place.ops)["edge_gw_members"] == 2, why="the new member")
-        assert peers.figures(place.ops)["edge_gw_members_unavailable"] >= 1  # the draining one at least
-        gone = peers.row("s0", place.setups[0].address, 0, "DELETED")
+        peers.until(lambda: peers.metrics(platform.ops)["edge_gw_members"] == 2, why="the new member")
+        assert peers.metrics(platform.ops)["edge_gw_members_unavailable"] >= 1  # the draining one at least
+        gone = peers.row("s0", platform.servers[0].address, 0, "DELETED")
         bus.sendall(json.dumps(peers.event(3, gone)).encode() + b"\n")
-        peers.until(lambda: peers.figures(place.ops)["edge_gw_members"] == 1, why="the member gone")
+        peers.until(lambda: peers.metrics(platform.ops)["edge_gw_members"] == 1, why="the member gone")
 
 
 def test_silent_and_malformed_callers_cost_their_own_connection() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        peers.until(lambda: running.ready(place.ops), why="readiness")
-        silent = [socket.create_connection(("127.0.0.1", place.ops)) for _ in range(80)]
-        half = socket.create_connection(("127.0.0.1", place.ops))
+    platform = peers.Platform()
+    with platform.run() as running:
+        peers.until(lambda: running.ready(platform.ops), why="readiness")
+        silent = [socket.create_connection(("127.0.0.1", platform.ops)) for _ in range(80)]
+        half = socket.create_connection(("127.0.0.1", platform.ops))
         half.sendall(b"GET /api/ready HTTP/1.1\r\nHost: x\r\n")
         began = time.monotonic()
-        assert peers.ops_call(place.ops, "/api/ready") == (200, b"ready\n")
+        assert peers.ops_call(platform.ops, "/api/ready") == (200, b"ready\n")
         assert time.monotonic() - began < 1.0
-        assert peers.ops_call(place.ops, "/api/nothing")[0] == 404
-        assert peers.ops_call(place.ops, "/api/ready", method="POST")[0] == 405
-        with socket.create_connection(("127.0.0.1", place.ops)) as rude:
+        assert peers.ops_call(platform.ops, "/api/nothing")[0] == 404
+        assert peers.ops_call(platform.ops, "/api/ready", method="POST")[0] == 405
+        with socket.create_connection(("127.0.0.1", platform.ops)) as rude:
             rude.sendall(b"GET /api/ready HTTP/1.1\r\nno colon here\r\n\r\n")
             assert rude.recv(4096).startswith(b"HTTP/1.1 400 ")
         counters = running.counters()
         assert counters["ops.malformed"] == 1 and counters["ops.made_room"] >= 16
         for sock in [*silent, half]:
             sock.close()
-        caller = peers.Caller(place.port)
-        stand(place, caller)  # the platform's front served on
+        caller = peers.Caller(platform.port)
+        establish_call(platform, caller)  # the platform's front served on
 
 
 @pytest.mark.alone
 def test_a_second_process_takes_over_and_the_first_drains() -> None:
-    place = peers.Platform()
-    with place.run() as first:
-        peers.until(lambda: first.ready(place.ops), why="the first ready")
-        old = peers.Caller(place.port)
-        standing, server = stand(place, old)
+    platform = peers.Platform()
+    with platform.run() as first:
+        peers.until(lambda: first.ready(platform.ops), why="the first ready")
+        old = peers.Caller(platform.port)
+        standing, server = establish_call(platform, old)
         second_ops = free_port()
-        with place.run(GW_OPS=f"127.0.0.1:{second_ops}") as second:  # the same address to listen on
+        with platform.run(GW_OPS=f"127.0.0.1:{second_ops}") as second:  # the same address to listen on
             peers.until(lambda: second.ready(second_ops), why="the second ready")
-            stream = ThreadPoolExecutor(1).submit(answered_until, place.port, time.monotonic() + 1.6)
+            stream = ThreadPoolExecutor(1).submit(answered_until, platform.port, time.monotonic() + 1.6)
             first.process.send_signal(signal.SIGTERM)
             peers.until(lambda: first.events("stopping"), why="the stop")
-            assert not first.ready(place.ops)
-            crossing = old.call(patience_ms=3000)  # on a connection that the first process took
+            assert not first.ready(platform.ops)
+            crossing = old.call(time_limit_ms=3000)  # on a connection that the first process took
             peers.reply(server, peers.invite(server), 200, b"answer")
-            assert old.told(crossing).type == binary.ANSWER
+            assert old.final_answer(crossing).type == binary.ANSWER
             served, turned_back = stream.result(timeout=10)
             assert served > 20 and turned_back == 0  # through the close of the first one's listener
             assert first.events("not_listening")
             peers.until(lambda: first.events("drained"), why="the end of the drain")
             late = old.call()  # past the drain: answered at once, never left unheard
-            assert old.told(late, within=1.0).parameters[binary.CAUSE] == b"\x2a"
+            assert old.final_answer(late, within=1.0).parameters[binary.CAUSE] == b"\x2a"
             assert first.process.wait(8) == 0
             assert second.process.poll() is None and second.ready(second_ops)
-            assert old.told(standing).type == binary.RELEASE
+            assert old.final_answer(standing).type == binary.RELEASE
 
 
 def test_what_the_kernel_has_queued_is_taken_before_a_listener_is_closed() -> None:
@@ -122,7 +122,7 @@
             assert isinstance(listener, anyio.abc.SocketListener)
             port = listener.extra(anyio.abc.SocketAttribute.local_port)
             waiting = [socket.create_connection(("127.0.0.1", port)) for _ in range(50)]  # nobody accepts
-            taken = _close(listener.extra(anyio.abc.SocketAttribute.raw_socket))
+            taken = _close_listener(listener.extra(anyio.abc.SocketAttribute.raw_socket))
             assert {sock.getpeername() for sock in taken} == {sock.getsockname() for sock in waiting}
             for sock in (*taken, *waiting):
                 sock.close()
@@ -161,14 +161,14 @@
     port = old.getsockname()[1]
     assert steer_away(old) and connect(old) == [100]  # nobody there: they still come
     with listening(port) as new:
-        spread(new)
+        detach_filter(new)
         assert min(connect(old, new)) > 0
         assert steer_away(old) and connect(old, new) == [0, 100]
         old.close()
         old = new
         assert connect(new) == [100]
         with listening(port) as third:
-            spread(third)
+            detach_filter(third)
             assert min(connect(new, third)) > 0
     with socket.create_server(("127.0.0.1", 0)) as single:
         assert not steer_away(single)
@@ -182,7 +182,7 @@
         try:
             fresh = peers.Caller(port)
             fresh.send(binary.Message(binary.TEST, b"\0" * 8, {binary.CAUSE: b"\0"}).encode())
-            fresh.next(lambda m: m.type == binary.TESTED, within=1.0)
+            fresh.next(lambda m: m.type == binary.TEST_RESULT, within=1.0)
             fresh.close()
             served += 1
         except (OSError, EOFError, AssertionError):
@@ -191,87 +191,87 @@
 
 
 def test_sighup_takes_new_classes_for_new_calls_while_open_calls_keep_their_rules() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        old_call = caller.call(patience_ms=8000)  # class a: five attempts
-        server = place.setups[0].accept()
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        old_call = caller.call(time_limit_ms=8000)  # class a: five attempts
+        server = platform.servers[0].accept()
         held = peers.invite(server)
-        options = place.config["settings"]
+        options = platform.config["settings"]
         options["Classes"] = [{**options["Classes"][1], "Name": "c"}]  # a and b dropped, c new
         options["Bounds"]["TryLimit"] = 1  # fewer attempts from now on
-        place.path.write_text(json.dumps(place.config))
+        platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
         told = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
         assert told["retuned"] and told["classes"] == ["c"] and told["waiting_for_restart"] == []
-        new_call = caller.call(patience_ms=5000, cls=b"c")
-        second = place.setups[0].accept()  # a set-up open has a line to itself
+        new_call = caller.call(time_limit_ms=5000, class_name=b"c")
+        second = platform.servers[0].accept()  # a set-up open has a line to itself
         fresh = peers.invite(second)
         assert fresh.call == new_call.hex() and fresh.text(b"priority-class") == "c"
         peers.reply(second, fresh, 500)  # one attempt, as the new settings say: no other follows
-        assert caller.told(new_call).type == binary.RELEASE
+        assert caller.final_answer(new_call).type == binary.RELEASE
         peers.reply(server, held, 500)  # the open call keeps its five
-        line, again = peers.until(lambda: place.setups[0].invited(within=0.1), why="the second attempt")
+        line, again = peers.until(lambda: platform.servers[0].invited(within=0.1), why="the second attempt")
         assert again.call == old_call.hex()
         peers.reply(line, again, 200, b"answer")
-        assert caller.told(old_call).type == binary.ANSWER
+        assert caller.final_answer(old_call).type == binary.ANSWER
         time.sleep(2.0)  # past the time that a dropped class is still taken
-        dropped = caller.call(cls=b"a")
-        assert caller.told(dropped).parameters[binary.CAUSE] == bytes([100])
-        seen = peers.figures(place.ops)
+        dropped = caller.call(class_name=b"a")
+        assert caller.final_answer(dropped).parameters[binary.CAUSE] == bytes([100])
+        seen = peers.metrics(platform.ops)
         assert (seen["edge_gw_config_reloads_total"], seen["edge_gw_config_reload_errors_total"]) == (1, 0)
 
 
 def test_a_broken_file_at_sighup_takes_nothing_is_counted_and_names_its_key() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        good = json.dumps(place.config)
-        options = place.config["settings"]
+    platform = peers.Platform()
+    with platform.run() as running:
+        good = json.dumps(platform.config)
+        options = platform.config["settings"]
         broken = [
             ("", "GW_CONFIG"),
             (good[: len(good) // 2], "GW_CONFIG"),
-            (json.dumps({**place.config, "settings": {}}), "settings"),
-            (json.dumps({**place.config, "settings": {**options, "Classes": [{"Name": "a"}]}}), "Promise"),
+            (json.dumps({**platform.config, "settings": {}}), "settings"),
+            (json.dumps({**platform.config, "settings": {**options, "Classes": [{"Name": "a"}]}}), "Promise"),
             (
                 json.dumps(
                     {
-                        **place.config,
+                        **platform.config,
                         "settings": {**options, "Classes": [{**options["Classes"][0], "GiveUp": -5}]},
                     }
                 ),
                 "Classes[0].GiveUp",
             ),
             (
-                json.dumps({**place.config, "settings": {**options, "Bounds": {"TryLimit": 0}}}),
+                json.dumps({**platform.config, "settings": {**options, "Bounds": {"TryLimit": 0}}}),
                 "Bounds.TryLimit",
             ),
         ]
         for n, (text, key) in enumerate(broken, start=1):
-            place.path.write_text(text)
+            platform.path.write_text(text)
             running.process.send_signal(signal.SIGHUP)
             said = peers.until(lambda: running.events("reload_failed")[n - 1 :], why="the refusal")[0]  # noqa: B023
             assert key in said["error"]
-            assert peers.figures(place.ops)["edge_gw_config_reload_errors_total"] == n
+            assert peers.metrics(platform.ops)["edge_gw_config_reload_errors_total"] == n
         assert not running.events("reloaded")
-        caller = peers.Caller(place.port)
-        stand(place, caller)  # class a and its rules, as before
-        assert peers.figures(place.ops)["edge_gw_config_reloads_total"] == 0
+        caller = peers.Caller(platform.port)
+        establish_call(platform, caller)  # class a and its rules, as before
+        assert peers.metrics(platform.ops)["edge_gw_config_reloads_total"] == 0
 
 
 def test_a_set_up_begun_late_and_written_slowly_is_taken() -> None:
     """A crowd's true requests come on new connections, some written over 2 s: the time for a first word
     must not cut one that has begun, only the time for a message begun."""
-    place = peers.Platform()
-    with place.run():
-        caller = peers.Caller(place.port)
+    platform = peers.Platform()
+    with platform.run():
+        caller = peers.Caller(platform.port)
         data = binary.Message(
             binary.SET_UP,
             b"slowslow",
             {
                 binary.CLASS: b"a",
-                binary.PATIENCE: b"6000",
+                binary.TIME_LIMIT: b"6000",
                 binary.NUMBER: b"7f3a9c21e0b4d655",
-                binary.FIGURES: b"dest:0;width:1;via:-1",
+                binary.ATTRIBUTES: b"dest:0;width:1;via:-1",
                 binary.DESCRIPTION: b"offer\r\n",
             },
         ).encode()
@@ -279,6 +279,6 @@
         caller.send(data[:5])
         time.sleep(1.8)  # 2.4 s after the connection came, 1.8 s into the message
         caller.send(data[5:])
-        server = place.setups[0].accept()
+        server = platform.servers[0].accept()
         peers.reply(server, peers.invite(server), 200, b"answer")
-        assert caller.told(b"slowslow").type == binary.ANSWER
+        assert caller.final_answer(b"slowslow").type == binary.ANSWER
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,140 +17,140 @@
 
 
 def test_a_call_stands_and_ends() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        caller.ask(binary.TEST, b"\0" * 8, 0)
-        assert caller.next(lambda m: m.type == binary.TESTED).parameters[binary.CAUSE] == b"\x01"
-        call = caller.call(patience_ms=4000)
-        server = place.setups[0].accept()
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        caller.send_request(binary.TEST, b"\0" * 8, 0)
+        assert caller.next(lambda m: m.type == binary.TEST_RESULT).parameters[binary.CAUSE] == b"\x01"
+        call = caller.call(time_limit_ms=4000)
+        server = platform.servers[0].accept()
         asked = peers.invite(server)
         assert asked.call == call.hex() and asked.body == b"offer\r\n"
         assert asked.target == b"sip:7f3a9c21e0b4d655@net" and asked.text(b"priority-class") == "a"
         assert 3000 < int(asked.text(b"expires-ms")) <= 4000
         peers.reply(server, asked, 200, b"answer \xff")
         assert server.next(lambda m: m.method == "ACK").call == call.hex()
-        told = caller.told(call)
+        told = caller.final_answer(call)
         assert told.type == binary.ANSWER and told.parameters[binary.DESCRIPTION] == b"answer \xff"
         server.send(sip.bye(b"7f3a9c21e0b4d655", call.hex(), 7, 16))
-        assert caller.told(call).parameters[binary.CAUSE] == b"\x10"
+        assert caller.final_answer(call).parameters[binary.CAUSE] == b"\x10"
         assert running.counters()["calls.ok"] == 1
         assert running.stop() == 0
 
 
-def stand(
-    place: peers.Platform, caller: peers.Caller, server: peers.Peer | None = None
+def establish_call(
+    platform: peers.Platform, caller: peers.Caller, server: peers.Peer | None = None
 ) -> tuple[bytes, peers.Peer]:
     """A call that stands, and the server's end of its connection."""
     call = caller.call()
-    server = server or place.setups[0].accept()
+    server = server or platform.servers[0].accept()
     peers.reply(server, peers.invite(server), 200, b"answer")
-    assert caller.told(call).type == binary.ANSWER
+    assert caller.final_answer(call).type == binary.ANSWER
     return call, server
 
 
 def test_a_vanished_server_has_its_calls_released_though_nothing_says_so() -> None:
     """No reset comes and no news of the list; the connection stays open, and no new one comes up."""
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call, _server = stand(place, caller)
-        place.setups[0].listener.close()
-        assert caller.told(call, within=8.0).parameters[binary.CAUSE] == bytes([41])
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call, _server = establish_call(platform, caller)
+        platform.servers[0].listener.close()
+        assert caller.final_answer(call, within=8.0).parameters[binary.CAUSE] == bytes([41])
         assert running.counters()["servers.died"] == 1
 
 
 def test_a_silent_server_that_takes_connections_keeps_its_calls() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call, _server = stand(place, caller)
-        second = place.setups[0].accept()
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call, _server = establish_call(platform, caller)
+        second = platform.servers[0].accept()
         assert caller.silent(1.0)
         second.send(sip.bye(b"1", call.hex(), 7, 16))  # what it has to say may come on the new one
-        assert caller.told(call).parameters[binary.CAUSE] == bytes([16])
+        assert caller.final_answer(call).parameters[binary.CAUSE] == bytes([16])
         assert "servers.died" not in running.counters()
 
 
 def test_the_second_attempt_of_a_call_is_answered_too() -> None:
     """Servers answer all with CSeq 1: read as the number of the attempt, it lost each second one."""
-    place = peers.Platform(servers=2)
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call = caller.call(dest=0)
-        first = place.setups[0].accept()
+    platform = peers.Platform(servers=2)
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call = caller.call(destination=0)
+        first = platform.servers[0].accept()
         peers.reply(first, peers.invite(first), 503, note=b"processor_full")
-        second = place.setups[1].accept()
+        second = platform.servers[1].accept()
         again = peers.invite(second)
         assert again.call == call.hex() and again.body == b"offer\r\n"
         peers.reply(second, again, 200, b"answer")
-        assert caller.told(call).type == binary.ANSWER
+        assert caller.final_answer(call).type == binary.ANSWER
         assert running.counters()["attempts.full"] == 1
         assert "answers.too_late" not in running.counters()
 
 
 def test_a_cancel_that_crosses_an_answer_has_the_call_released() -> None:
-    place = peers.Platform()
-    with place.run():
-        caller = peers.Caller(place.port)
+    platform = peers.Platform()
+    with platform.run():
+        caller = peers.Caller(platform.port)
         call = caller.call()
-        server = place.setups[0].accept()
+        server = platform.servers[0].accept()
         asked = peers.invite(server)
-        caller.ask(binary.RELEASE, call, 16)
+        caller.send_request(binary.RELEASE, call, 16)
         assert server.next(lambda m: m.method == "CANCEL").call == call.hex()
         peers.reply(server, asked, 200, b"answer")
         assert server.next(lambda m: m.method == "ACK").call == call.hex()
         assert server.next(lambda m: m.method == "BYE").call == call.hex()
         with pytest.raises(AssertionError):
-            caller.told(call, within=0.3)  # given up: no answer is owed, and none may come
+            caller.final_answer(call, within=0.3)  # given up: no answer is owed, and none may come
 
 
 def test_a_standing_call_outlives_its_connections() -> None:
-    place = peers.Platform()
-    with place.run():
-        caller = peers.Caller(place.port)
-        ended, server = stand(place, caller)
-        released, _ = stand(place, caller, server)
+    platform = peers.Platform()
+    with platform.run():
+        caller = peers.Caller(platform.port)
+        ended, server = establish_call(platform, caller)
+        released, _ = establish_call(platform, caller, server)
         caller.close()
-        other = peers.Caller(place.port)
-        other.ask(binary.RELEASE, released, 16)
+        other = peers.Caller(platform.port)
+        other.send_request(binary.RELEASE, released, 16)
         assert server.next(lambda m: m.method == "BYE").call == released.hex()
         server.send(sip.bye(b"1", ended.hex(), 7, 16))
-        assert other.told(ended, within=1.0).parameters[binary.CAUSE] == bytes([16])
+        assert other.final_answer(ended, within=1.0).parameters[binary.CAUSE] == bytes([16])
 
 
 def test_a_reset_gives_up_the_set_ups_and_leaves_the_calls_that_stand() -> None:
     """The process behind it may live on: read as its death, a reset cut every call that stood there."""
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call, server = stand(place, caller)
-        other, _ = stand(place, caller, server)
-        waiting = caller.call(patience_ms=3500)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call, server = establish_call(platform, caller)
+        other, _ = establish_call(platform, caller, server)
+        waiting = caller.call(time_limit_ms=3500)
         peers.invite(server)
         server.close(reset=True)
         begun = time.time()
-        anew = place.setups[0].accept()  # at once: what ends the calls is said on the next connection
+        anew = platform.servers[0].accept()  # at once: what ends the calls is said on the next connection
         anew.send(sip.bye(b"1", call.hex(), 7, 16))
-        assert caller.told(call, within=1.0).parameters[binary.CAUSE] == bytes([16])
+        assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([16])
         again = peers.invite(anew)  # after the wait the call may be sent once more
         assert again.call == waiting.hex() and time.time() - begun > 0.15
         peers.reply(anew, again, 200, b"answer")
-        assert caller.told(waiting).type == binary.ANSWER
-        caller.ask(binary.RELEASE, other, 16)
+        assert caller.final_answer(waiting).type == binary.ANSWER
+        caller.send_request(binary.RELEASE, other, 16)
         assert anew.next(lambda m: m.method == "BYE" and not m.status).call == other.hex()
         counters = running.counters()
         assert counters["attempts.reset"] == 1 and "servers.died" not in counters
 
 
 def test_a_server_that_resets_and_takes_no_new_connection_has_died() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call, server = stand(place, caller)
-        place.setups[0].listener.close()
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call, server = establish_call(platform, caller)
+        platform.servers[0].listener.close()
         server.close(reset=True)
-        assert caller.told(call, within=2.0).parameters[binary.CAUSE] == bytes([41])
+        assert caller.final_answer(call, within=2.0).parameters[binary.CAUSE] == bytes([41])
         assert running.counters()["servers.died"] == 1
 
 
@@ -166,52 +166,52 @@
 )
 def test_a_spoilt_answer_costs_its_connection_and_the_set_up_is_sent_again(spoilt: bytes) -> None:
     """Also one that stops short on a connection that stays open: nothing more can be read there."""
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call = caller.call(patience_ms=3500)
-        server = place.setups[0].accept()
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call = caller.call(time_limit_ms=3500)
+        server = platform.servers[0].accept()
         peers.invite(server)
         server.send(spoilt % call.hex().encode())
-        anew = place.setups[0].accept()
+        anew = platform.servers[0].accept()
         again = peers.invite(anew)
         assert again.call == call.hex()
         peers.reply(anew, again, 200, b"answer")
-        assert caller.told(call).parameters[binary.DESCRIPTION] == b"answer"
+        assert caller.final_answer(call).parameters[binary.DESCRIPTION] == b"answer"
         assert running.counters()["servers.malformed"] == 1
 
 
 def test_a_line_that_has_gone_dead_is_left_and_its_set_up_sent_again() -> None:
     """It stays open and brings nothing: everything sent there until the end of the day was lost."""
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        _, dead = stand(place, caller)
-        lost = caller.call(patience_ms=3500)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        _, dead = establish_call(platform, caller)
+        lost = caller.call(time_limit_ms=3500)
         peers.invite(dead)
         time.sleep(0.2)  # the server takes set-ups in turn, and the next one comes well after this one
-        _, alive = stand(place, caller)  # on a line of its own
+        _, alive = establish_call(platform, caller)  # on a line of its own
         assert caller.silent(0.1)
         with pytest.raises(EOFError):
             dead.next(lambda _: False)
         again = peers.invite(alive)
         assert again.call == lost.hex()
         peers.reply(alive, again, 200, b"answer")
-        assert caller.told(lost).type == binary.ANSWER
+        assert caller.final_answer(lost).type == binary.ANSWER
         assert running.counters()["servers.dead_lines"] == 1
 
 
 def test_a_line_is_kept_while_a_call_of_its_set_up_stands() -> None:
     """Closed as spare, it took along the end of seven calls that was on its way there."""
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
         first, second = caller.call(), caller.call()
-        lines = [place.setups[0].accept() for _ in range(2)]
+        lines = [platform.servers[0].accept() for _ in range(2)]
         asked = [peers.invite(line) for line in lines]
         for line, what in zip(lines, asked, strict=True):
             peers.reply(line, what, 200, b"answer")
-        assert {caller.told(call).type for call in (first, second)} == {binary.ANSWER}
+        assert {caller.final_answer(call).type for call in (first, second)} == {binary.ANSWER}
         lines[1].send(sip.bye(b"1", asked[1].call, 7, 16))
         with pytest.raises(EOFError):  # nothing stands there any more: it goes after a while
             lines[1].next(lambda _: False)
@@ -221,111 +221,111 @@
 
 
 def test_a_spoilt_answer_takes_no_other_set_up_along() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
         caller.call()
-        spoilt = place.setups[0].accept()
+        spoilt = platform.servers[0].accept()
         peers.invite(spoilt)
         other = caller.call()
-        sound = place.setups[0].accept()
+        sound = platform.servers[0].accept()
         asked = peers.invite(sound)
         spoilt.send(b"\xffnoise\r\n\r\n")
         peers.until(lambda: running.events("closed"), why="the end of the spoilt line")
         peers.reply(sound, asked, 200, b"answer")
-        assert caller.told(other).type == binary.ANSWER
+        assert caller.final_answer(other).type == binary.ANSWER
 
 
 def test_a_second_copy_and_an_answer_under_an_unknown_id_change_nothing() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
         call = caller.call()
-        server = place.setups[0].accept()
+        server = platform.servers[0].accept()
         asked = peers.invite(server)
         head = sip.response(asked, 200, b"OK").replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer"
         server.send(head.replace(call.hex().encode(), b"00000000deadbeef") + head + head)
-        assert caller.told(call).parameters[binary.DESCRIPTION] == b"answer"
+        assert caller.final_answer(call).parameters[binary.DESCRIPTION] == b"answer"
         assert caller.silent(0.3)
         counters = running.counters()
         assert (counters["servers.unknown_answers"], counters["servers.copies"]) == (1, 1)
         assert "servers.sent_bye" not in counters
         server.send(sip.bye(b"1", call.hex(), 7, 16))
-        assert caller.told(call).parameters[binary.CAUSE] == bytes([16])
+        assert caller.final_answer(call).parameters[binary.CAUSE] == bytes([16])
 
 
 def test_news_of_the_bus_are_followed_and_a_reused_address_is_another_server() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        bus = place.follower()
+    platform = peers.Platform()
+    with platform.run() as running:
+        bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 1\n"
-        caller = peers.Caller(place.port)
-        call, old = stand(place, caller)
-        address = place.setups[0].address
+        caller = peers.Caller(platform.port)
+        call, old = establish_call(platform, caller)
+        address = platform.servers[0].address
         gone = peers.row("s0", address, 0, "DELETED")
         new = peers.row("s9", address, 0)
         news = [b'{"offset":1}', b"1", json.dumps(peers.event(2, gone, new)).encode()]
         bus.sendall(b"\n".join(news) + b"\n")
-        assert caller.told(call, within=1.0).parameters[binary.CAUSE] == bytes([41])
+        assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([41])
         with pytest.raises(EOFError):  # nothing is left for the server that has gone
             old.next(lambda _: False)
-        second, _ = stand(place, caller)  # on a connection of its own
+        second, _ = establish_call(platform, caller)  # on a connection of its own
         assert second != call
         bus.close()
-        bus = place.follower()
+        bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 2\n"
         bus.sendall(json.dumps(peers.event(3, peers.row("s9", address, 0, "DRAINING"))).encode() + b"\n")
         peers.until(lambda: len(running.events("list")) == 2, why="the drain")
         time.sleep(0.25)
-        refused = caller.told(caller.call())
+        refused = caller.final_answer(caller.call())
         assert refused.parameters[binary.CAUSE] == bytes([42])
-        assert 0 < int(refused.parameters[binary.STAY_AWAY]) <= 2000
+        assert 0 < int(refused.parameters[binary.RETRY_AFTER]) <= 2000
 
 
 def test_malformed_input_costs_its_connection_or_message_alone() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        for bad in (caller.call(cls=b"unheard"), caller.call(number=b"a b\r\nX: y")):
-            assert caller.told(bad).type == binary.RELEASE
-        caller.ask(99, b"\0" * 8, 0)
-        assert caller.told(b"\0" * 8).parameters[binary.CAUSE] == bytes([97])
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        for bad in (caller.call(class_name=b"unheard"), caller.call(number=b"a b\r\nX: y")):
+            assert caller.final_answer(bad).type == binary.RELEASE
+        caller.send_request(99, b"\0" * 8, 0)
+        assert caller.final_answer(b"\0" * 8).parameters[binary.CAUSE] == bytes([97])
         for noise in (b"\0\0", b"\xff\xff\1", b"\0\x0c\1" + b"\0" * 8 + b"\3\0\xff"):
-            broken = peers.Caller(place.port)
+            broken = peers.Caller(platform.port)
             broken.send(noise)
             with pytest.raises((EOFError, ConnectionResetError)):
                 broken.next()
-        call, server = stand(place, caller)
+        call, server = establish_call(platform, caller)
         server.send(b"SIP/2.0 nonsense\r\nContent-Length: 0\r\n\r\n")
         with pytest.raises(EOFError):
             server.next(lambda m: m.method == "NONE")
         counters = running.counters()
         assert (counters["callers.malformed"], counters["servers.malformed"]) == (3, 1)
         assert (counters["callers.bad_set_ups"], counters["callers.unknown"]) == (2, 1)
-        assert stand(place, caller)[0] != call
+        assert establish_call(platform, caller)[0] != call
 
 
 def test_sigterm_serves_what_crosses_answers_all_and_exits_with_0() -> None:
-    place = peers.Platform()
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        call, server = stand(place, caller)
+    platform = peers.Platform()
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        call, server = establish_call(platform, caller)
         running.process.terminate()
         peers.until(lambda: running.events("stopping"), why="the stop")
-        late = peers.Caller(place.port)
-        crossing = late.call(patience_ms=2000)
+        late = peers.Caller(platform.port)
+        crossing = late.call(time_limit_ms=2000)
         peers.reply(server, peers.invite(server), 200, b"answer")
-        assert late.told(crossing).type == binary.ANSWER
-        unanswered = late.call(patience_ms=9000)
-        assert late.told(unanswered).type == binary.RELEASE
-        assert late.told(crossing).type == binary.RELEASE  # what still stands is released at the end
-        assert caller.told(call).type == binary.RELEASE
+        assert late.final_answer(crossing).type == binary.ANSWER
+        unanswered = late.call(time_limit_ms=9000)
+        assert late.final_answer(unanswered).type == binary.RELEASE
+        assert late.final_answer(crossing).type == binary.RELEASE  # what still stands is released at the end
+        assert caller.final_answer(call).type == binary.RELEASE
         assert running.process.wait(3) == 0
         assert running.events("counters")[-1]["answers.stands"] == 2
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "said"),
+    ("key", "value", "expected"),
     [
         ("listen", "nowhere", "listen"),
         ("seed", "xyz", "seed"),
@@ -335,17 +335,17 @@
         ("bus", None, "bus"),
     ],
 )
-def test_bad_configuration_is_one_line_that_names_the_key(key: str, value: object, said: str) -> None:
-    place = peers.Platform()
-    place.config[key] = value
-    with place.run() as running:
+def test_bad_configuration_is_one_line_that_names_the_key(key: str, value: object, expected: str) -> None:
+    platform = peers.Platform()
+    platform.config[key] = value
+    with platform.run() as running:
         assert running.process.wait(5) == 2
-        assert said in running.text() and running.text().count("\n") == 1
+        assert expected in running.text() and running.text().count("\n") == 1
 
 
 def test_an_address_in_use_is_told_in_one_line() -> None:
-    place = peers.Platform()
-    with socket.create_server(("127.0.0.1", place.port)), place.run() as running:
+    platform = peers.Platform()
+    with socket.create_server(("127.0.0.1", platform.port)), platform.run() as running:
         assert running.process.wait(5) == 1
         assert len(running.events("crashed")) == 1
 
@@ -359,24 +359,24 @@
 
 def test_sighup_follows_a_new_bus_from_the_last_event_and_a_faulty_file_changes_nothing() -> None:
     """The old bus stays open and tells nothing more: what the new one has must be heard at once."""
-    place = peers.Platform()
-    with place.run() as running:
-        old = place.follower()
+    platform = peers.Platform()
+    with platform.run() as running:
+        old = platform.accept_bus_connection()
         assert old.recv(100) == b"from 1\n"
-        place.path.write_text(json.dumps(place.config)[:-40])  # half written
+        platform.path.write_text(json.dumps(platform.config)[:-40])  # half written
         running.process.send_signal(signal.SIGHUP)
         peers.until(lambda: running.events("reload_failed"), why="the faulty file")
         with peers.listen() as bus:
             bus.settimeout(5.0)
-            place.config["bus"] = f"127.0.0.1:{bus.getsockname()[1]}"
-            place.config["limits"] = {"sockets": 512}
-            place.path.write_text(json.dumps(place.config))
+            platform.config["bus"] = f"127.0.0.1:{bus.getsockname()[1]}"
+            platform.config["limits"] = {"sockets": 512}
+            platform.path.write_text(json.dumps(platform.config))
             running.process.send_signal(signal.SIGHUP)
             follower = bus.accept()[0]
             assert follower.recv(100) == b"from 1\n"
             told = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
             assert told["waiting_for_restart"] == ["sockets"]
-            drain = peers.event(2, peers.row("s0", place.setups[0].address, 0, "DRAINING"))
+            drain = peers.event(2, peers.row("s0", platform.servers[0].address, 0, "DRAINING"))
             follower.sendall(json.dumps(drain).encode() + b"\n")
             peers.until(lambda: running.events("list"), why="the drain")
             assert old.recv(100) == b""  # and the old bus is left
@@ -385,20 +385,20 @@
 
 def test_a_bus_that_stops_or_breaks_is_asked_again_before_its_news_count_as_told() -> None:
     """They count 4 s after a stop and 2 s after a break, also when a first try finds nobody there."""
-    place = peers.Platform()
-    with place.run():
-        silent = place.follower()
+    platform = peers.Platform()
+    with platform.run():
+        silent = platform.accept_bus_connection()
         begun = time.time()
-        broken = place.follower()  # the first has said nothing for a while
+        broken = platform.accept_bus_connection()  # the first has said nothing for a while
         assert time.time() - begun < 3.0
         assert broken.recv(100) == b"from 1\n"
-        address = place.bus.getsockname()
-        place.bus.close()
+        address = platform.bus.getsockname()
+        platform.bus.close()
         broken.sendall(b'{"offset":2,"topo')  # it breaks off in the middle of an event
         broken.close()
         time.sleep(1.6)  # long enough for growing pauses to become too long
-        with socket.create_server(address) as place.bus:
+        with socket.create_server(address) as platform.bus:
             begun = time.time()
-            assert place.follower().recv(100) == b"from 1\n"
+            assert platform.accept_bus_connection().recv(100) == b"from 1\n"
             assert time.time() - begun < 0.7
         silent.close()
--- a/tests/test_settings_malformed.py
+++ b/tests/test_settings_malformed.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "said"),
+    ("path", "value", "expected"),
     [
         (("settings", "Classes", 0, "Name"), 7, "Classes[0].Name"),
         (("settings", "Classes", 0, "GiveUp"), 0, "Classes[0].GiveUp"),
@@ -92,24 +92,24 @@
     ],
 )
 def test_what_is_wrong_is_named_by_its_key(
-    path: tuple[Any, ...], value: Any, said: str, tmp_path: Path
+    path: tuple[Any, ...], value: Any, expected: str, tmp_path: Path
 ) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(with_value(peers.Platform().config, path, value)))
-    with pytest.raises(SettingsError, match=said.replace("[", r"\[").replace(".", r"\.")):
+    with pytest.raises(SettingsError, match=expected.replace("[", r"\[").replace(".", r"\.")):
         read_platform({"GW_CONFIG": str(file)})
 
 
 def test_a_malformed_reload_changes_nothing_and_is_counted() -> None:
-    place = peers.Platform()
-    with place.run() as running:
+    platform = peers.Platform()
+    with platform.run() as running:
         for n, (path, value) in enumerate(
             [(("settings", "Classes"), []), (("bus",), 7), (("settings", "Rules", "WarmAfter"), -1)], 1
         ):
-            place.path.write_text(json.dumps(with_value(place.config, path, value)))
+            platform.path.write_text(json.dumps(with_value(platform.config, path, value)))
             running.process.send_signal(signal.SIGHUP)
             peers.until(lambda n=n: len(running.events("reload_failed")) == n, why="the faulty file")  # type: ignore[misc]
-        assert peers.figures(place.ops)["edge_gw_config_reload_errors_total"] == 3
-        caller = peers.Caller(place.port)
+        assert peers.metrics(platform.ops)["edge_gw_config_reload_errors_total"] == 3
+        caller = peers.Caller(platform.port)
         call = caller.call()
-        assert peers.invite(place.setups[0].accept()).call == call.hex()
+        assert peers.invite(platform.servers[0].accept()).call == call.hex()
