--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,5 @@
-"""The one helper of the network tests: starts the real program, and plays its callers, servers and bus."""
+"""Helpers of the network tests: start the real program, and act as its callers, setup servers and event
+bus."""
 
 from __future__ import annotations
 
@@ -26,7 +27,7 @@
 
 
 def until(condition: Callable[[], Found | None], within: float = 10.0, why: str = "a condition") -> Found:
-    """Waits for a condition; fails with its name if it does not come true in time."""
+    """Polls a condition and returns its first true value; fails with `why` after `within` seconds."""
     end = time.monotonic() + within
     while time.monotonic() < end:
         if found := condition():
@@ -36,11 +37,12 @@
 
 
 def listen() -> socket.socket:
+    """Returns a listening socket on a free port of 127.0.0.1."""
     return socket.create_server(("127.0.0.1", 0))
 
 
 def ops_call(port: int, path: str, method: str = "GET", within: float = 2.0) -> tuple[int, bytes]:
-    """One call to the `ops` listener, as a scraper makes it: status and body."""
+    """Makes one request to the `ops` listener, as a scraper does; returns status and body."""
     connection = HTTPConnection("127.0.0.1", port, timeout=within)
     try:
         connection.request(method, path)
@@ -51,7 +53,7 @@
 
 
 def metrics(port: int) -> dict[str, float]:
-    """The exposition of `GET /api/telemetry` as name{labels} -> value."""
+    """Reads `GET /api/telemetry`; returns name{labels} -> value."""
     status, body = ops_call(port, "/api/telemetry")
     assert status == 200
     table = {}
@@ -72,7 +74,8 @@
         self.sock.sendall(data)
 
     def next(self, matches: Callable[[Any], bool] = lambda _: True, within: float = 5.0) -> Any:
-        """The next message that fits; the others are kept."""
+        """Returns the next message that matches and keeps the others; raises `EOFError` at the end of the
+        connection."""
         end = time.monotonic() + within
         while True:
             for message in self.received:
@@ -83,13 +86,13 @@
             try:
                 data = self.sock.recv(65536)
             except TimeoutError:
-                raise AssertionError(f"nothing that fits came; kept: {self.received}") from None
+                raise AssertionError(f"no matching message; kept: {self.received}") from None
             if not data:
                 raise EOFError
             self.received += self.decoder.feed(data)
 
     def silent(self, span: float) -> bool:
-        """Nothing comes for so long."""
+        """Whether nothing arrives for `span` seconds."""
         with suppress(AssertionError):
             message = self.next(within=span)
             self.received.insert(0, message)
@@ -97,12 +100,15 @@
         return True
 
     def close(self, reset: bool = False) -> None:
+        """Closes the connection, with a TCP reset if asked to."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class Caller(Peer):
+    """A caller on a connection to the program."""
+
     def __init__(self, port: int) -> None:
         super().__init__(socket.create_connection(("127.0.0.1", port)), binary.Decoder())
 
@@ -115,6 +121,7 @@
         call_id: bytes = b"",
         **changes: bytes,
     ) -> bytes:
+        """Sends a set-up and returns its call id. `time_limit`, as text, replaces `time_limit_ms`."""
         call = call_id or secrets.token_bytes(8)
         fields = {
             binary.CLASS: changes.get("class_name", b"a"),
@@ -127,14 +134,16 @@
         return call
 
     def send_request(self, kind: int, call: bytes, cause: int) -> None:
+        """Sends a message of any type with a cause."""
         self.send(binary.Message(kind, call, {binary.CAUSE: bytes([cause])}).encode())
 
     def final_answer(self, call: bytes, within: float = 5.0) -> binary.Message:
+        """Returns the answer or the release of a call."""
         return self.next(lambda m: m.call == call and m.type in (binary.ANSWER, binary.RELEASE), within)  # type: ignore[no-any-return]
 
 
 class SetupServer:
-    """A setup server that does what the test says."""
+    """A setup server under the test's control."""
 
     def __init__(self) -> None:
         self.listener = listen()
@@ -142,13 +151,16 @@
         self.connections: list[Peer] = []
 
     def accept(self, within: float = 5.0) -> Peer:
+        """Accepts the next connection of the program."""
         self.listener.settimeout(within)
         self.connections.append(Peer(self.listener.accept()[0], sip.Decoder()))
         return self.connections[-1]
 
     def invited(self, within: float) -> tuple[Peer, sip.Message] | None:
-        """The next set-up on any line, new ones included: a set-up goes on another line while the last one
-        of its server still has bytes to write, and which it is turns on the moment."""
+        """Returns the next set-up on any connection, new ones included; None if none comes.
+
+        The program sends a set-up on another connection while the last one still has bytes to write, so
+        which one it uses depends on timing."""
         end = time.monotonic() + within
         while True:
             with suppress(TimeoutError):
@@ -161,33 +173,38 @@
 
 
 def invite(peer: Peer, within: float = 5.0) -> sip.Message:
+    """Returns the next INVITE on a connection."""
     return peer.next(lambda m: m.method == "INVITE" and not m.status, within)  # type: ignore[no-any-return]
 
 
 def reply(peer: Peer, to: sip.Message, status: int, body: bytes = b"", note: bytes = b"") -> None:
+    """Sends a response; `note` is its Warning-Word."""
     head = sip.response(to, status, b"-").replace(b"Content-Length: 0", b"Content-Length: %d" % len(body))
-    head = head.replace(b"CSeq: 2 INVITE", b"CSeq: 1 INVITE")  # the platform's servers know no other
+    head = head.replace(b"CSeq: 2 INVITE", b"CSeq: 1 INVITE")  # as the platform's servers answer every INVITE
     if note:
         head = head.replace(b"Content-Length", b"Warning-Word: %s\r\nContent-Length" % note)
     peer.send(head + body)
 
 
 def row(name: str, where: str, cell: int, state: str = "SERVING", started: int = 0) -> dict[str, Any]:
+    """One instance in an event of the bus."""
     keys = ("instanceId", "hostPort", "zone", "machineType", "cell", "lifecycle", "weight", "startedAtMs")
     return dict(zip(keys, (name, where, "z", "std", cell, state, 1, started), strict=True))
 
 
 def event(offset: int, *rows: dict[str, Any], reset: bool = False) -> dict[str, Any]:
+    """One event of the bus; with `reset`, it holds the whole list."""
     return {"offset": offset, "topology": {"generation": offset, "reset": reset, "instances": list(rows)}}
 
 
 class Program:
-    """The real program as a process."""
+    """The real program as a process, with its log."""
 
     def __init__(self, process: subprocess.Popen[bytes], log: Path) -> None:
         self.process, self._log = process, log
 
     def events(self, name: str) -> list[dict[str, Any]]:
+        """Returns the log lines with that event name."""
         lines = self._log.read_bytes().split(b"\n")[:-1]
         read = [json.loads(line) for line in lines if line.startswith(b"{")]
         return [line for line in read if line["event"] == name]
@@ -196,12 +213,13 @@
         return self._log.read_text()
 
     def counters(self) -> dict[str, int]:
+        """Has the program log its counters (SIGUSR1) and returns them."""
         before = len(self.events("counters"))
         self.process.send_signal(signal.SIGUSR1)
         return until(lambda: self.events("counters")[before:], why="the counters")[0]
 
     def wait_for_counter(self, name: str, least: int = 1, within: float = 10.0) -> int:
-        """A counter once it has come so far; asked for less often than the log leaves lines out."""
+        """Waits until a counter has reached `least`; polls slowly enough for the log's rate limit."""
         end = time.monotonic() + within
         while (value := self.counters().get(name, 0)) < least:
             assert time.monotonic() < end, f"waited {within} s for {name} to be {least}; it is {value}"
@@ -209,17 +227,20 @@
         return value
 
     def ready(self, port: int) -> bool:
+        """Whether the `ops` listener on that port reports readiness."""
         with suppress(OSError):
             return ops_call(port, "/api/ready")[0] == 200
         return False
 
     def stop(self, within: float = 6.0) -> int:
+        """Sends SIGTERM and returns the exit status."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(within)
 
 
 @contextmanager
 def program(*arguments: str, **environ: str) -> Iterator[Program]:
+    """Runs `python -m harepick` with these arguments and variables; kills it at the end."""
     with tempfile.TemporaryDirectory() as folder:
         log = Path(folder) / "log"
         with log.open("wb") as out:
@@ -240,7 +261,7 @@
 
 
 class Platform:
-    """What the platform gives a border controller: its configuration, its bus and its servers."""
+    """The platform around a border controller: its configuration, event bus and setup servers."""
 
     def __init__(self, servers: int = 1) -> None:
         self.servers = [SetupServer() for _ in range(servers)]
@@ -263,6 +284,7 @@
 
     @contextmanager
     def run(self, **environ: str) -> Iterator[Program]:
+        """Runs the program on this configuration."""
         with tempfile.TemporaryDirectory() as folder:
             self.path = Path(folder) / "config.json"
             self.path.write_text(json.dumps(self.config))
@@ -270,6 +292,6 @@
                 yield running
 
     def accept_bus_connection(self) -> socket.socket:
-        """The bus's end of the program's connection, once it has said what it has."""
+        """Returns the bus's end of the program's connection."""
         self.bus.settimeout(5.0)
         return self.bus.accept()[0]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Size limits, and what a decision module must not touch."""
+"""Size limits of the decision module, and what it must not depend on."""
 
 from __future__ import annotations
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""The evidence of a server's death, without sockets."""
+"""Evidence that a setup server has died, without sockets."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Owner:
-    """What a link needs of its owner."""
+    """What a connection pool needs of its owner."""
 
     def __init__(self) -> None:
         self.inbox = Inbox()
@@ -38,7 +38,7 @@
 
 
 def pool_with_standing_call() -> tuple[ConnectionPool, Owner, ServerConnection]:
-    """A link on which one call stands, at a server that has been silent for too long."""
+    """A pool with one standing call, at a server that has been silent for too long."""
     owner = Owner()
     pool = ConnectionPool(owner, cast(TaskGroup, None), "s0", Address("127.0.0.1", 5))
     connection = ServerConnection(pool)
@@ -49,9 +49,9 @@
     return pool, owner, connection
 
 
-async def test_a_connection_that_comes_up_and_stays_silent_proves_no_life() -> None:
-    """The kernel of a vanished machine may still take some: that put the end of its calls off until the list
-    told it, seconds later."""
+async def test_silent_new_connection_is_no_sign_of_life() -> None:
+    """The kernel of a vanished machine may still accept connections. Taken for a sign of life, they
+    delayed the end of its calls by seconds, until the server list reported it."""
     pool, owner, _ = pool_with_standing_call()
     pool._connection_failed()
     pool.connection_opened(ServerConnection(pool))
@@ -61,7 +61,7 @@
     assert owner.counters["servers.died"] == 1 and not pool.standing
 
 
-async def test_a_word_between_two_failed_connections_proves_life() -> None:
+async def test_message_between_two_failed_connections_is_a_sign_of_life() -> None:
     pool, owner, _ = pool_with_standing_call()
     pool._connection_failed()
     pool.last_heard = time.time()
@@ -70,8 +70,8 @@
     assert owner.counters["servers.died"] == 0 and pool.standing
 
 
-async def test_a_refusal_is_no_sign_of_life() -> None:
-    """Errors went on to come from a server whose machine had vanished with all its calls."""
+async def test_refusal_is_no_sign_of_life() -> None:
+    """An intermediary went on sending errors for a server whose machine had vanished with all its calls."""
     pool, owner, connection = pool_with_standing_call()
     pool._connection_failed()
     error = b"SIP/2.0 500 No\r\nCall-ID: c2\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n"
@@ -83,7 +83,7 @@
     assert owner.counters["servers.died"] == 1
 
 
-async def test_without_room_for_another_line_set_ups_share_one() -> None:
+async def test_set_ups_share_a_connection_at_the_connection_limit() -> None:
     pool, owner, connection = pool_with_standing_call()
     owner.may_connect = False
     for call in ("c2", "c3", "c4"):
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,8 +1,7 @@
-"""What operators use day by day: the `ops` listener, its figures, and the handover to a second process.
+"""Daily operation: the `ops` listener, its metrics, reloads, and the handover to a second process.
 
-Each test starts the real program (and for the handover a second one beside it) and speaks to it as scrapers,
-callers and setup servers do.
-"""
+Most tests start the real program (and for the handover a second one beside it) and act as scrapers,
+callers and setup servers."""
 
 from __future__ import annotations
 
@@ -24,10 +23,10 @@
 from tests import peers
 from tests.test_platform import establish_call
 
-LANE = 'edge_gw_downstream_requests_total{lane="a",result="%s"}'
+ANSWERS_METRIC = 'edge_gw_downstream_requests_total{lane="a",result="%s"}'
 
 
-def test_ready_and_figures_follow_what_the_callers_were_answered() -> None:
+def test_readiness_and_metrics_follow_the_answers_to_callers() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         peers.until(lambda: running.ready(platform.ops), why="readiness")
@@ -35,18 +34,22 @@
         call, server = establish_call(platform, caller)
         waiting = caller.call()
         refused = peers.invite(server)
-        peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 2, why="one standing, one owed")
+        peers.until(
+            lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 2, why="one standing, one unanswered"
+        )
         peers.reply(server, refused, 503, note=b"processor_full")
         sent = 2
-        while tried := platform.servers[0].invited(within=1.0):  # the module may try the same server again
+        while tried := platform.servers[0].invited(
+            within=1.0
+        ):  # the controller may try the same server again
             peers.reply(*tried, 503, note=b"processor_full")
             sent += 1
         answered = caller.final_answer(waiting, within=10.0)
         seen = peers.metrics(platform.ops)
         result = "rejected" if answered.parameters[binary.CAUSE] == b"\x2a" else "failed"
-        assert seen[LANE % "completed"] == 1 and seen[LANE % result] == 1
+        assert seen[ANSWERS_METRIC % "completed"] == 1 and seen[ANSWERS_METRIC % result] == 1
         assert seen["edge_gw_upstream_requests_total"] == sent
-        assert seen["edge_gw_pending"] == 1  # the call that stands has not ended
+        assert seen["edge_gw_pending"] == 1  # the standing call
         server.send(sip.bye(b"7f3a9c21e0b4d655", call.hex(), 7, 16))
         assert caller.final_answer(call).type == binary.RELEASE
         peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 0, why="nothing pending")
@@ -64,7 +67,7 @@
         peers.until(lambda: peers.metrics(platform.ops)["edge_gw_members"] == 1, why="the member gone")
 
 
-def test_silent_and_malformed_callers_cost_their_own_connection() -> None:
+def test_silent_and_malformed_ops_clients_affect_only_themselves() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         peers.until(lambda: running.ready(platform.ops), why="readiness")
@@ -76,46 +79,46 @@
         assert time.monotonic() - began < 1.0
         assert peers.ops_call(platform.ops, "/api/nothing")[0] == 404
         assert peers.ops_call(platform.ops, "/api/ready", method="POST")[0] == 405
-        with socket.create_connection(("127.0.0.1", platform.ops)) as rude:
-            rude.sendall(b"GET /api/ready HTTP/1.1\r\nno colon here\r\n\r\n")
-            assert rude.recv(4096).startswith(b"HTTP/1.1 400 ")
+        with socket.create_connection(("127.0.0.1", platform.ops)) as malformed_client:
+            malformed_client.sendall(b"GET /api/ready HTTP/1.1\r\nno colon here\r\n\r\n")
+            assert malformed_client.recv(4096).startswith(b"HTTP/1.1 400 ")
         counters = running.counters()
         assert counters["ops.malformed"] == 1 and counters["ops.made_room"] >= 16
         for sock in [*silent, half]:
             sock.close()
         caller = peers.Caller(platform.port)
-        establish_call(platform, caller)  # the platform's front served on
+        establish_call(platform, caller)  # the platform's front is not affected
 
 
 @pytest.mark.alone
-def test_a_second_process_takes_over_and_the_first_drains() -> None:
+def test_second_process_takes_over_while_the_first_drains() -> None:
     platform = peers.Platform()
     with platform.run() as first:
         peers.until(lambda: first.ready(platform.ops), why="the first ready")
         old = peers.Caller(platform.port)
         standing, server = establish_call(platform, old)
         second_ops = free_port()
-        with platform.run(GW_OPS=f"127.0.0.1:{second_ops}") as second:  # the same address to listen on
+        with platform.run(GW_OPS=f"127.0.0.1:{second_ops}") as second:  # with the same listening address
             peers.until(lambda: second.ready(second_ops), why="the second ready")
             stream = ThreadPoolExecutor(1).submit(answered_until, platform.port, time.monotonic() + 1.6)
             first.process.send_signal(signal.SIGTERM)
             peers.until(lambda: first.events("stopping"), why="the stop")
             assert not first.ready(platform.ops)
-            crossing = old.call(time_limit_ms=3000)  # on a connection that the first process took
+            crossing = old.call(time_limit_ms=3000)  # on a connection that the first process accepted
             peers.reply(server, peers.invite(server), 200, b"answer")
             assert old.final_answer(crossing).type == binary.ANSWER
-            served, turned_back = stream.result(timeout=10)
-            assert served > 20 and turned_back == 0  # through the close of the first one's listener
+            served, rejected = stream.result(timeout=10)
+            assert served > 20 and rejected == 0  # while the first one's listener was closed
             assert first.events("not_listening")
             peers.until(lambda: first.events("drained"), why="the end of the drain")
-            late = old.call()  # past the drain: answered at once, never left unheard
+            late = old.call()  # after the drain: refused at once rather than left unanswered
             assert old.final_answer(late, within=1.0).parameters[binary.CAUSE] == b"\x2a"
             assert first.process.wait(8) == 0
             assert second.process.poll() is None and second.ready(second_ops)
             assert old.final_answer(standing).type == binary.RELEASE
 
 
-def test_what_the_kernel_has_queued_is_taken_before_a_listener_is_closed() -> None:
+def test_queued_connections_are_accepted_before_a_listener_is_closed() -> None:
     async def work() -> None:
         async with await anyio.create_tcp_listener(local_host="127.0.0.1") as multi:
             (listener,) = multi.listeners
@@ -133,6 +136,7 @@
 
 
 def listening(port: int = 0) -> socket.socket:
+    """Returns a listening socket with SO_REUSEPORT."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.bind(("127.0.0.1", port))
@@ -141,11 +145,12 @@
     return sock
 
 
-def test_new_connections_go_to_the_successor_alone_and_a_later_start_takes_that_back() -> None:
-    """What the kernel queues for a listener between its last accept and its close would be reset."""
+def test_new_connections_go_to_the_successor_until_a_later_start() -> None:
+    """Connections that the kernel queues for a listener between its last accept and its close are reset,
+    so new ones must go elsewhere before the close."""
 
     def connect(*listeners: socket.socket) -> list[int]:
-        """How many of 100 new connections each got."""
+        """Opens 100 connections; returns how many each listener got."""
         clients = [socket.create_connection(old.getsockname()) for _ in range(100)]
         counts = [0] * len(listeners)
         for n, listener in enumerate(listeners):
@@ -159,7 +164,7 @@
 
     old = listening()
     port = old.getsockname()[1]
-    assert steer_away(old) and connect(old) == [100]  # nobody there: they still come
+    assert steer_away(old) and connect(old) == [100]  # without a successor they still arrive here
     with listening(port) as new:
         detach_filter(new)
         assert min(connect(old, new)) > 0
@@ -175,9 +180,9 @@
 
 
 def answered_until(port: int, end: float) -> tuple[int, int]:
-    """New connections one after another, each with a test: how many were answered, and how many met a
-    refusal, a reset or a close."""
-    served = turned_back = 0
+    """Opens connections one after another, each with a test message; returns how many were answered, and
+    how many were refused, reset or closed."""
+    served = rejected = 0
     while time.monotonic() < end:
         try:
             fresh = peers.Caller(port)
@@ -186,11 +191,11 @@
             fresh.close()
             served += 1
         except (OSError, EOFError, AssertionError):
-            turned_back += 1
-    return served, turned_back
+            rejected += 1
+    return served, rejected
 
 
-def test_sighup_takes_new_classes_for_new_calls_while_open_calls_keep_their_rules() -> None:
+def test_sighup_applies_new_classes_to_new_calls_only() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -205,24 +210,24 @@
         told = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
         assert told["retuned"] and told["classes"] == ["c"] and told["waiting_for_restart"] == []
         new_call = caller.call(time_limit_ms=5000, class_name=b"c")
-        second = platform.servers[0].accept()  # a set-up open has a line to itself
+        second = platform.servers[0].accept()  # an open set-up has a connection to itself
         fresh = peers.invite(second)
         assert fresh.call == new_call.hex() and fresh.text(b"priority-class") == "c"
-        peers.reply(second, fresh, 500)  # one attempt, as the new settings say: no other follows
+        peers.reply(second, fresh, 500)  # the new settings allow one attempt
         assert caller.final_answer(new_call).type == binary.RELEASE
-        peers.reply(server, held, 500)  # the open call keeps its five
+        peers.reply(server, held, 500)  # the open call keeps its five attempts
         line, again = peers.until(lambda: platform.servers[0].invited(within=0.1), why="the second attempt")
         assert again.call == old_call.hex()
         peers.reply(line, again, 200, b"answer")
         assert caller.final_answer(old_call).type == binary.ANSWER
-        time.sleep(2.0)  # past the time that a dropped class is still taken
+        time.sleep(2.0)  # longer than a dropped class is still accepted
         dropped = caller.call(class_name=b"a")
         assert caller.final_answer(dropped).parameters[binary.CAUSE] == bytes([100])
         seen = peers.metrics(platform.ops)
         assert (seen["edge_gw_config_reloads_total"], seen["edge_gw_config_reload_errors_total"]) == (1, 0)
 
 
-def test_a_broken_file_at_sighup_takes_nothing_is_counted_and_names_its_key() -> None:
+def test_broken_file_at_sighup_changes_nothing_and_is_counted() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         good = json.dumps(platform.config)
@@ -258,9 +263,10 @@
         assert peers.metrics(platform.ops)["edge_gw_config_reloads_total"] == 0
 
 
-def test_a_set_up_begun_late_and_written_slowly_is_taken() -> None:
-    """A crowd's true requests come on new connections, some written over 2 s: the time for a first word
-    must not cut one that has begun, only the time for a message begun."""
+def test_set_up_begun_late_and_written_slowly_is_accepted() -> None:
+    """Under load, valid set-ups come on new connections, and some take over 2 s to write. The time limit
+    for the first byte must not apply to a message that has begun, only the limit for incomplete
+    messages."""
     platform = peers.Platform()
     with platform.run():
         caller = peers.Caller(platform.port)
@@ -277,7 +283,7 @@
         ).encode()
         time.sleep(0.6)
         caller.send(data[:5])
-        time.sleep(1.8)  # 2.4 s after the connection came, 1.8 s into the message
+        time.sleep(1.8)  # 2.4 s after the connection was opened, 1.8 s after the first byte
         caller.send(data[5:])
         server = platform.servers[0].accept()
         peers.reply(server, peers.invite(server), 200, b"answer")
--- a/tests/test_settings_malformed.py
+++ b/tests/test_settings_malformed.py
@@ -1,4 +1,4 @@
-"""Settings that make no sense, one key at a time: the start names the key; nothing else may be raised."""
+"""Malformed settings, one key at a time: only `SettingsError` may be raised, and it names the key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from harepick.settings import SettingsError, read_platform
 from tests import peers
 
-BAD: tuple[Any, ...] = (
+MALFORMED_VALUES: tuple[Any, ...] = (
     None,
     "",
     "x",
@@ -33,7 +33,7 @@
 
 
 def paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Every key and every row, at every depth."""
+    """Yields the path of every key and every list item, at every depth."""
     if path:
         yield path
     if isinstance(value, dict):
@@ -45,6 +45,7 @@
 
 
 def with_value(config: dict[str, Any], path: tuple[Any, ...], value: Any, missing: bool = False) -> Any:
+    """Returns a copy of the configuration with the value at a path replaced, or removed if `missing`."""
     changed = copy.deepcopy(config)
     at: Any = changed
     for key in path[:-1]:
@@ -56,13 +57,13 @@
     return changed
 
 
-def test_no_setting_makes_the_reader_raise_anything_but_one_line_that_names_a_key(tmp_path: Path) -> None:
+def test_every_malformed_value_is_reported_in_one_line_that_names_a_key(tmp_path: Path) -> None:
     config = peers.Platform(servers=2).config
     config["settings"]["Projects"] = [{"Name": "p", "AllowancePerS": 1.0, "Share": 0.5}]
     file = tmp_path / "config.json"
     refused = 0
     for path in paths(config):
-        for value in BAD:
+        for value in MALFORMED_VALUES:
             for missing in (False, True):
                 file.write_text(json.dumps(with_value(config, path, value, missing)))
                 try:
@@ -91,16 +92,14 @@
         (("settings", "Bounds"), [], "Bounds"),
     ],
 )
-def test_what_is_wrong_is_named_by_its_key(
-    path: tuple[Any, ...], value: Any, expected: str, tmp_path: Path
-) -> None:
+def test_error_names_the_faulty_key(path: tuple[Any, ...], value: Any, expected: str, tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(json.dumps(with_value(peers.Platform().config, path, value)))
     with pytest.raises(SettingsError, match=expected.replace("[", r"\[").replace(".", r"\.")):
         read_platform({"GW_CONFIG": str(file)})
 
 
-def test_a_malformed_reload_changes_nothing_and_is_counted() -> None:
+def test_malformed_reload_changes_nothing_and_is_counted() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         for n, (path, value) in enumerate(
--- a/tests/test_setups.py
+++ b/tests/test_setups.py
@@ -1,4 +1,4 @@
-"""What a set-up must look like, without sockets."""
+"""Validation of set-ups, without sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return binary.Message(1, call, {codes[k]: v for k, v in wanted.items() if v is not None})
 
 
-def test_a_set_up_as_it_should_be_is_read() -> None:
+def test_valid_set_up_is_parsed() -> None:
     found = PARSER.parse(set_up(attributes=b"dest:2;width:1;via:-1;again:1"), 0.0)
     assert (found.time_limit, found.destination, found.again) == (1.5, 2, True)
     assert (found.request.number, found.request.description) == (b"7f3a", b"offer")
@@ -60,7 +60,7 @@
         (set_up(attributes=b"dest:1_0"), CAUSE_INVALID),
     ],
 )
-def test_what_is_out_of_bounds_is_refused_with_its_cause(message: binary.Message, cause: int) -> None:
+def test_invalid_set_up_is_refused_with_its_cause(message: binary.Message, cause: int) -> None:
     with pytest.raises(InvalidSetUpError) as refused:
         PARSER.parse(message, 0.0)
     assert refused.value.cause == cause
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -1,4 +1,4 @@
-"""Clients that send what they should not, or nothing: the real program goes on serving the others."""
+"""Clients that send invalid data, or nothing: the real program goes on serving the others."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from harepick.net import binary, sip
 from tests import peers
 
-GONE = (EOFError, ConnectionResetError, BrokenPipeError)
+DISCONNECTED = (EOFError, ConnectionResetError, BrokenPipeError)
 
 
-def test_figures_beyond_all_bounds_cost_their_set_up_alone() -> None:
-    """A patience of 400 digits ended the program; an id of zeros had the server close on everybody."""
+def test_out_of_bounds_set_up_is_refused_alone() -> None:
+    """A time limit of 400 digits ended the program, and a zero call id made the server close its
+    connection with every call open there."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -21,88 +22,88 @@
             assert caller.final_answer(bad).type == binary.RELEASE
         call = caller.call()
         server = platform.servers[0].accept()
-        assert peers.invite(server).call == call.hex()  # the first that the server hears of
+        assert peers.invite(server).call == call.hex()  # the first set-up that reaches the server
         assert running.counters()["callers.bad_set_ups"] == 2
 
 
-def test_an_id_that_is_open_stays_with_the_call_that_has_it() -> None:
+def test_open_call_id_stays_with_its_call() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller, other = peers.Caller(platform.port), peers.Caller(platform.port)
         call = caller.call()
         server = platform.servers[0].accept()
-        asked = peers.invite(server)
-        other.send_request(binary.RELEASE, call, 16)  # not theirs to give up
+        invite = peers.invite(server)
+        other.send_request(binary.RELEASE, call, 16)  # only the connection of the set-up may give it up
         other.call(call_id=call)
-        with pytest.raises(GONE):
+        with pytest.raises(DISCONNECTED):
             other.final_answer(call)
-        peers.reply(server, asked, 200, b"answer")
+        peers.reply(server, invite, 200, b"answer")
         assert caller.final_answer(call).type == binary.ANSWER
-        stranger = peers.Caller(platform.port)
-        stranger.call(call_id=call)  # nor when it stands
-        with pytest.raises(GONE):
-            stranger.final_answer(call)
+        client = peers.Caller(platform.port)
+        client.call(call_id=call)  # a standing call keeps its id as well
+        with pytest.raises(DISCONNECTED):
+            client.final_answer(call)
         assert caller.silent(0.3)
         counters = running.counters()
         assert counters["calls.clashes"] == 2 and counters["servers.sent_invite"] == 1
         assert "servers.sent_bye" not in counters and "servers.sent_cancel" not in counters
 
 
-def test_silent_and_half_said_connections_are_closed_within_3_s() -> None:
+def test_silent_and_stalled_connections_are_closed_within_3_s() -> None:
     platform = peers.Platform()
     with platform.run() as running:
-        begun = time.time()
+        started_at = time.time()
         silent, half = peers.Caller(platform.port), peers.Caller(platform.port)
         half.send(b"\0\x40\1\1\2")
-        for stranger in (silent, half):
-            with pytest.raises(GONE):
-                stranger.next()
-        assert time.time() - begun < 3.0
+        for client in (silent, half):
+            with pytest.raises(DISCONNECTED):
+                client.next()
+        assert time.time() - started_at < 3.0
         counters = running.counters()
         assert counters["callers.silent"] + counters["callers.half_said"] == 2
 
 
-def test_a_full_house_makes_room_for_the_newest_and_keeps_what_is_open() -> None:
+def test_full_connection_table_evicts_idle_connections_only() -> None:
     platform = peers.Platform()
-    platform.config["limits"]["sockets"] = 64  # 32 for callers
+    platform.config["limits"]["sockets"] = 64  # of which 32 are for callers
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         call = caller.call()
         server = platform.servers[0].accept()
-        asked = peers.invite(server)
-        strangers = [peers.Caller(platform.port) for _ in range(40)]
+        invite = peers.invite(server)
+        idle_clients = [peers.Caller(platform.port) for _ in range(40)]
         newest = peers.Caller(platform.port)
         newest.send_request(binary.TEST, b"\0" * 8, 0)
         assert newest.next().type == binary.TEST_RESULT
-        with pytest.raises(GONE):
-            strangers[0].next(within=1.0)  # the longest idle, long before its time
-        peers.reply(server, asked, 200, b"answer")
+        with pytest.raises(DISCONNECTED):
+            idle_clients[0].next(within=1.0)  # the longest idle one, long before its time limit
+        peers.reply(server, invite, 200, b"answer")
         assert caller.final_answer(call).type == binary.ANSWER
         counters = running.counters()
         assert counters["callers.made_room"] >= 10 and "callers.turned_away" not in counters
 
 
-def test_a_good_set_up_ahead_of_a_malformed_one_counts() -> None:
+def test_message_ahead_of_a_malformed_one_is_decoded() -> None:
     decoder = binary.Decoder()
-    good = binary.Message(binary.TEST, b"12345678", {binary.CAUSE: b"\0"})
+    valid_message = binary.Message(binary.TEST, b"12345678", {binary.CAUSE: b"\0"})
     found = []
     with pytest.raises(binary.BinaryError):
-        for message in decoder.feed(good.encode() + b"\0\0"):
+        for message in decoder.feed(valid_message.encode() + b"\0\0"):
             found.append(message)
-    assert found == [good]
+    assert found == [valid_message]
 
 
-def test_a_client_that_sends_the_same_again_and_again_is_closed() -> None:
+def test_client_that_repeats_invalid_set_ups_is_disconnected() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
-        with pytest.raises(GONE):
+        with pytest.raises(DISCONNECTED):
             for _ in range(1000):
                 caller.final_answer(caller.call(class_name=b"unheard"))
         assert running.counters()["callers.too_bad"] == 1
 
 
-def test_the_release_of_a_call_goes_to_no_stranger() -> None:
+def test_release_goes_only_to_connections_of_callers() -> None:
     platform = peers.Platform()
     with platform.run():
         caller = peers.Caller(platform.port)
@@ -111,9 +112,9 @@
         peers.reply(server, peers.invite(server), 200, b"answer")
         assert caller.final_answer(call).type == binary.ANSWER
         caller.close()
-        stranger = peers.Caller(platform.port)
+        client = peers.Caller(platform.port)
         server.send(sip.bye(b"1", call.hex(), 7, 16))
-        assert stranger.silent(0.3)
+        assert client.silent(0.3)
         other = peers.Caller(platform.port)
-        other.call()  # the next one that is a caller
+        other.call()  # the next connection that proves to be a caller's
         assert other.final_answer(call).parameters[binary.CAUSE] == bytes([16])
