--- a/harepick/net/connection_limits.py
+++ b/harepick/net/connection_limits.py
@@ -17,9 +17,8 @@
 from harepick.counters import Counters
 from harepick.net.outbox import Outbox
 
-FIRST_MESSAGE_TIMEOUT_S = (
-    2.0  # without a byte since the acceptance; the platform requires an answer or a close in 3 s
-)
+# Without a byte since the acceptance; the platform requires an answer or a close within 3 s.
+FIRST_MESSAGE_TIMEOUT_S = 2.0
 # From the acceptance to the first whole message, or from the first byte of a later one: some callers take 2 s
 # to write a message.
 PARTIAL_MESSAGE_TIMEOUT_S = 2.5
@@ -45,9 +44,7 @@
     last_activity: float  # when the last whole message was received or sent
     opened_at: float = 0.0
     outbox: Outbox[CallerMessage] = field(default_factory=Outbox)
-    open_set_ups: dict[bytes, Caller] = field(
-        default_factory=dict
-    )  # set-ups that wait for their answer, by call id
+    open_set_ups: dict[bytes, Caller] = field(default_factory=dict)  # unanswered set-ups, by call id
     standing_calls: set[bytes] = field(default_factory=set)  # calls answered here that still stand
     alive: bool = True
     is_caller: bool = False  # has sent a valid set-up or a release
@@ -63,7 +60,7 @@
 
     @property
     def awaiting_message(self) -> bool:
-        """The connection has been accepted and has brought no whole message, or part of one."""
+        """Whether the client has sent nothing complete since the acceptance, or an incomplete message."""
         return self.partial_since is not None or self.last_activity == self.opened_at
 
     def mark_callers_gone(self) -> None:
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -47,15 +47,19 @@
     connection to a server and for a caller that comes late."""
 
     callers: int
-    lines: int
+    server_connections: int
     ops: int
 
     @classmethod
     def divide(cls, sockets: int) -> DescriptorBudget:
         """Divides `sockets`, the limit on descriptors."""
-        lines = max(1, sockets // 4)
+        server_connections = max(1, sockets // 4)
         ops = max(2, min(64, sockets // 16))
-        return cls(max(1, min(sockets // 2, sockets - lines - ops - OWN_DESCRIPTORS)), lines, ops)
+        return cls(
+            max(1, min(sockets // 2, sockets - server_connections - ops - OWN_DESCRIPTORS)),
+            server_connections,
+            ops,
+        )
 
 
 class PlatformFront:
@@ -178,7 +182,7 @@
     ) -> None:
         """Serves until `stop`, then drains."""
         config, counters, log = self._config, self._counters, self._log
-        module = config.settings
+        settings = config.settings
         inbox = self._inbox = Inbox()
         directory = self._directory
         budget = DescriptorBudget.divide(config.sockets)
@@ -187,16 +191,16 @@
             inbox,
             counters,
             log,
-            module.connect_timeout,
+            settings.connect_timeout,
             config.idle_close,
-            max_connections=budget.lines,
+            max_connections=budget.server_connections,
         )
         self._apply_gaps(config)
         engine = self._engine = Engine(
-            module, config.seed, servers, inbox, counters, log, config.open_cap, screen=self._screen
+            settings, config.seed, servers, inbox, counters, log, config.open_cap, screen=self._screen
         )
         callers = self._callers = Callers(
-            module.classes, inbox, counters, log, max_connections=budget.callers
+            settings.classes, inbox, counters, log, max_connections=budget.callers
         )
         bus = self._bus = BusClient(config.bus, directory, inbox, servers, counters, log, config.seed)
         where = config.listen
--- a/harepick/net/setups.py
+++ b/harepick/net/setups.py
@@ -18,9 +18,8 @@
 ATTRIBUTES = re.compile(rb"[a-z]+:-?[0-9]{1,9}(;[a-z]+:-?[0-9]{1,9})*;?")
 ATTRIBUTE_BOUNDS = {"dest": (-1, 65_535), "width": (1, 64), "via": (-1, 65_535), "again": (0, 1)}
 NULL_CALL_ID = bytes(8)
-DROPPED_CLASS_GRACE_S = (
-    2.0  # clients move to new classes 1.2 s after a reload and send the old ones until then
-)
+# Clients move to new classes 1.2 s after a reload and send the old ones until then.
+DROPPED_CLASS_GRACE_S = 2.0
 
 
 class InvalidSetUpError(ValueError):
--- a/harepick/net/steering.py
+++ b/harepick/net/steering.py
@@ -15,9 +15,8 @@
     68,
 )  # SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF; the socket module lacks them
 BPF_RETURN = 0x06  # BPF_RET | BPF_K
-SUCCESSOR_INDEX = (
-    1  # sockets of a group are numbered by age; with an unused index the kernel chooses as usual
-)
+# Sockets of a group are numbered by age; with an unused index the kernel chooses as usual.
+SUCCESSOR_INDEX = 1
 
 
 def steer_away(sock: socket.socket) -> bool:
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -52,9 +52,7 @@
     idle_close: float
     settings: interface.Settings
     ops: Address | None = None  # of the `ops` listener; None: there is none
-    gaps: tuple[
-        Any, ...
-    ] = ()  # `GapRow`s of `harepick.gapping.config`, which is imported only if there are any
+    gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s; imported only if there are any
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,9 +93,7 @@
     maintenance: Any = None  # `harepick.fleet.maintenance.policy.MaintenanceSettings`; None: its defaults
     limits: tuple[Any, ...] = ()  # `harepick.fleet.limits.limit_buckets.Limit`s of `[[limit]]`
     verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictSettings`; None: its defaults
-    membership: Any = (
-        None  # `harepick.fleet.membership.policy.MembershipSettings`; None: no member is ever dropped
-    )
+    membership: Any = None  # `MembershipSettings` of `harepick.fleet.membership.policy`; None: no drops
     autogap: Any = None  # `harepick.gapping.auto_gaps.AutoGapSettings`; None: no automatic gaps
 
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -207,8 +207,8 @@
         options["Bounds"]["TryLimit"] = 1  # fewer attempts from now on
         platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
-        told = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
-        assert told["retuned"] and told["classes"] == ["c"] and told["waiting_for_restart"] == []
+        reloaded = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
+        assert reloaded["retuned"] and reloaded["classes"] == ["c"] and reloaded["waiting_for_restart"] == []
         new_call = caller.call(time_limit_ms=5000, class_name=b"c")
         second = platform.servers[0].accept()  # an open set-up has a connection to itself
         fresh = peers.invite(second)
@@ -216,9 +216,11 @@
         peers.reply(second, fresh, 500)  # the new settings allow one attempt
         assert caller.final_answer(new_call).type == binary.RELEASE
         peers.reply(server, held, 500)  # the open call keeps its five attempts
-        line, again = peers.until(lambda: platform.servers[0].invited(within=0.1), why="the second attempt")
+        connection, again = peers.until(
+            lambda: platform.servers[0].invited(within=0.1), why="the second attempt"
+        )
         assert again.call == old_call.hex()
-        peers.reply(line, again, 200, b"answer")
+        peers.reply(connection, again, 200, b"answer")
         assert caller.final_answer(old_call).type == binary.ANSWER
         time.sleep(2.0)  # longer than a dropped class is still accepted
         dropped = caller.call(class_name=b"a")
@@ -254,8 +256,8 @@
         for n, (text, key) in enumerate(broken, start=1):
             platform.path.write_text(text)
             running.process.send_signal(signal.SIGHUP)
-            said = peers.until(lambda: running.events("reload_failed")[n - 1 :], why="the refusal")[0]  # noqa: B023
-            assert key in said["error"]
+            failure = peers.until(lambda: running.events("reload_failed")[n - 1 :], why="the refusal")[0]  # noqa: B023
+            assert key in failure["error"]
             assert peers.metrics(platform.ops)["edge_gw_config_reload_errors_total"] == n
         assert not running.events("reloaded")
         caller = peers.Caller(platform.port)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -16,7 +16,7 @@
 from tests import peers
 
 
-def test_a_call_stands_and_ends() -> None:
+def test_call_stands_and_ends() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -24,14 +24,14 @@
         assert caller.next(lambda m: m.type == binary.TEST_RESULT).parameters[binary.CAUSE] == b"\x01"
         call = caller.call(time_limit_ms=4000)
         server = platform.servers[0].accept()
-        asked = peers.invite(server)
-        assert asked.call == call.hex() and asked.body == b"offer\r\n"
-        assert asked.target == b"sip:7f3a9c21e0b4d655@net" and asked.text(b"priority-class") == "a"
-        assert 3000 < int(asked.text(b"expires-ms")) <= 4000
-        peers.reply(server, asked, 200, b"answer \xff")
+        invite = peers.invite(server)
+        assert invite.call == call.hex() and invite.body == b"offer\r\n"
+        assert invite.target == b"sip:7f3a9c21e0b4d655@net" and invite.text(b"priority-class") == "a"
+        assert 3000 < int(invite.text(b"expires-ms")) <= 4000
+        peers.reply(server, invite, 200, b"answer \xff")
         assert server.next(lambda m: m.method == "ACK").call == call.hex()
-        told = caller.final_answer(call)
-        assert told.type == binary.ANSWER and told.parameters[binary.DESCRIPTION] == b"answer \xff"
+        answer = caller.final_answer(call)
+        assert answer.type == binary.ANSWER and answer.parameters[binary.DESCRIPTION] == b"answer \xff"
         server.send(sip.bye(b"7f3a9c21e0b4d655", call.hex(), 7, 16))
         assert caller.final_answer(call).parameters[binary.CAUSE] == b"\x10"
         assert running.counters()["calls.ok"] == 1
@@ -41,7 +41,7 @@
 def establish_call(
     platform: peers.Platform, caller: peers.Caller, server: peers.Peer | None = None
 ) -> tuple[bytes, peers.Peer]:
-    """A call that stands, and the server's end of its connection."""
+    """Sets up a call that stands; returns its id and the server's end of its connection."""
     call = caller.call()
     server = server or platform.servers[0].accept()
     peers.reply(server, peers.invite(server), 200, b"answer")
@@ -49,8 +49,8 @@
     return call, server
 
 
-def test_a_vanished_server_has_its_calls_released_though_nothing_says_so() -> None:
-    """No reset comes and no news of the list; the connection stays open, and no new one comes up."""
+def test_calls_of_a_vanished_server_are_released() -> None:
+    """There is no reset and no list event: the connection stays open, and no new one can be opened."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -60,20 +60,23 @@
         assert running.counters()["servers.died"] == 1
 
 
-def test_a_silent_server_that_takes_connections_keeps_its_calls() -> None:
+def test_silent_server_that_accepts_connections_keeps_its_calls() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         call, _server = establish_call(platform, caller)
         second = platform.servers[0].accept()
         assert caller.silent(1.0)
-        second.send(sip.bye(b"1", call.hex(), 7, 16))  # what it has to say may come on the new one
+        second.send(
+            sip.bye(b"1", call.hex(), 7, 16)
+        )  # the end of a call may be reported on the new connection
         assert caller.final_answer(call).parameters[binary.CAUSE] == bytes([16])
         assert "servers.died" not in running.counters()
 
 
-def test_the_second_attempt_of_a_call_is_answered_too() -> None:
-    """Servers answer all with CSeq 1: read as the number of the attempt, it lost each second one."""
+def test_answer_to_the_second_attempt_is_delivered() -> None:
+    """Servers answer every INVITE with CSeq 1. Taken for the number of the attempt, it made every second
+    attempt fail."""
     platform = peers.Platform(servers=2)
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -89,23 +92,23 @@
         assert "answers.too_late" not in running.counters()
 
 
-def test_a_cancel_that_crosses_an_answer_has_the_call_released() -> None:
+def test_answer_that_crosses_a_cancel_is_released() -> None:
     platform = peers.Platform()
     with platform.run():
         caller = peers.Caller(platform.port)
         call = caller.call()
         server = platform.servers[0].accept()
-        asked = peers.invite(server)
+        invite = peers.invite(server)
         caller.send_request(binary.RELEASE, call, 16)
         assert server.next(lambda m: m.method == "CANCEL").call == call.hex()
-        peers.reply(server, asked, 200, b"answer")
+        peers.reply(server, invite, 200, b"answer")
         assert server.next(lambda m: m.method == "ACK").call == call.hex()
         assert server.next(lambda m: m.method == "BYE").call == call.hex()
         with pytest.raises(AssertionError):
-            caller.final_answer(call, within=0.3)  # given up: no answer is owed, and none may come
+            caller.final_answer(call, within=0.3)  # the call was given up, so no answer may follow
 
 
-def test_a_standing_call_outlives_its_connections() -> None:
+def test_standing_call_outlives_its_connections() -> None:
     platform = peers.Platform()
     with platform.run():
         caller = peers.Caller(platform.port)
@@ -119,8 +122,9 @@
         assert other.final_answer(ended, within=1.0).parameters[binary.CAUSE] == bytes([16])
 
 
-def test_a_reset_gives_up_the_set_ups_and_leaves_the_calls_that_stand() -> None:
-    """The process behind it may live on: read as its death, a reset cut every call that stood there."""
+def test_reset_ends_open_set_ups_and_keeps_standing_calls() -> None:
+    """The process behind the connection may live on. Taken for its death, a reset cut every call that
+    stood there."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -129,21 +133,23 @@
         waiting = caller.call(time_limit_ms=3500)
         peers.invite(server)
         server.close(reset=True)
-        begun = time.time()
-        anew = platform.servers[0].accept()  # at once: what ends the calls is said on the next connection
-        anew.send(sip.bye(b"1", call.hex(), 7, 16))
+        started_at = time.time()
+        new_connection = platform.servers[
+            0
+        ].accept()  # at once, as the ends of calls are reported on the next connection
+        new_connection.send(sip.bye(b"1", call.hex(), 7, 16))
         assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([16])
-        again = peers.invite(anew)  # after the wait the call may be sent once more
-        assert again.call == waiting.hex() and time.time() - begun > 0.15
-        peers.reply(anew, again, 200, b"answer")
+        again = peers.invite(new_connection)  # after the guard time the call may be sent again
+        assert again.call == waiting.hex() and time.time() - started_at > 0.15
+        peers.reply(new_connection, again, 200, b"answer")
         assert caller.final_answer(waiting).type == binary.ANSWER
         caller.send_request(binary.RELEASE, other, 16)
-        assert anew.next(lambda m: m.method == "BYE" and not m.status).call == other.hex()
+        assert new_connection.next(lambda m: m.method == "BYE" and not m.status).call == other.hex()
         counters = running.counters()
         assert counters["attempts.reset"] == 1 and "servers.died" not in counters
 
 
-def test_a_server_that_resets_and_takes_no_new_connection_has_died() -> None:
+def test_server_that_resets_and_refuses_new_connections_has_died() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -155,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"SIP/2.0 200 OK\r\nCall-ID: %b\r\nCSeq: 1 INVITE\r\nContent-Length: 900\r\n\r\nv=0\r\n",
         b"SIP/2.0 200 OK\r\nCall-ID: %b\r\nCSe",
@@ -164,33 +170,34 @@
         b"SIP/2.0 200 OK\r\nCall-ID: %b\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\nv=0\r\n",
     ],
 )
-def test_a_spoilt_answer_costs_its_connection_and_the_set_up_is_sent_again(spoilt: bytes) -> None:
-    """Also one that stops short on a connection that stays open: nothing more can be read there."""
+def test_malformed_answer_closes_its_connection_and_the_set_up_is_retried(malformed: bytes) -> None:
+    """An incomplete answer on a connection that stays open counts as well: nothing more can be read there."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         call = caller.call(time_limit_ms=3500)
         server = platform.servers[0].accept()
         peers.invite(server)
-        server.send(spoilt % call.hex().encode())
-        anew = platform.servers[0].accept()
-        again = peers.invite(anew)
+        server.send(malformed % call.hex().encode())
+        new_connection = platform.servers[0].accept()
+        again = peers.invite(new_connection)
         assert again.call == call.hex()
-        peers.reply(anew, again, 200, b"answer")
+        peers.reply(new_connection, again, 200, b"answer")
         assert caller.final_answer(call).parameters[binary.DESCRIPTION] == b"answer"
         assert running.counters()["servers.malformed"] == 1
 
 
-def test_a_line_that_has_gone_dead_is_left_and_its_set_up_sent_again() -> None:
-    """It stays open and brings nothing: everything sent there until the end of the day was lost."""
+def test_dead_connection_is_closed_and_its_set_up_retried() -> None:
+    """Such a connection stays open and delivers nothing; without a check, every set-up sent on it was
+    lost."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         _, dead = establish_call(platform, caller)
         lost = caller.call(time_limit_ms=3500)
         peers.invite(dead)
-        time.sleep(0.2)  # the server takes set-ups in turn, and the next one comes well after this one
-        _, alive = establish_call(platform, caller)  # on a line of its own
+        time.sleep(0.2)  # servers handle set-ups in order: the next one is sent well after this one
+        _, alive = establish_call(platform, caller)  # on a connection of its own
         assert caller.silent(0.1)
         with pytest.raises(EOFError):
             dead.next(lambda _: False)
@@ -201,49 +208,51 @@
         assert running.counters()["servers.dead_lines"] == 1
 
 
-def test_a_line_is_kept_while_a_call_of_its_set_up_stands() -> None:
-    """Closed as spare, it took along the end of seven calls that was on its way there."""
+def test_connection_is_kept_while_a_call_set_up_on_it_stands() -> None:
+    """Closed as spare, such a connection lost the ends of seven calls that were on their way."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         first, second = caller.call(), caller.call()
-        lines = [platform.servers[0].accept() for _ in range(2)]
-        asked = [peers.invite(line) for line in lines]
-        for line, what in zip(lines, asked, strict=True):
-            peers.reply(line, what, 200, b"answer")
+        connections = [platform.servers[0].accept() for _ in range(2)]
+        invites = [peers.invite(connection) for connection in connections]
+        for connection, invite in zip(connections, invites, strict=True):
+            peers.reply(connection, invite, 200, b"answer")
         assert {caller.final_answer(call).type for call in (first, second)} == {binary.ANSWER}
-        lines[1].send(sip.bye(b"1", asked[1].call, 7, 16))
-        with pytest.raises(EOFError):  # nothing stands there any more: it goes after a while
-            lines[1].next(lambda _: False)
-        lines[0].send(sip.bye(b"1", asked[0].call, 7, 16))
+        connections[1].send(sip.bye(b"1", invites[1].call, 7, 16))
+        with pytest.raises(EOFError):  # no call stands there any more: it is closed after a while
+            connections[1].next(lambda _: False)
+        connections[0].send(sip.bye(b"1", invites[0].call, 7, 16))
         assert {caller.next(lambda m: m.type == binary.RELEASE).call for _ in range(2)} == {first, second}
         assert running.counters()["calls.ok"] == 2
 
 
-def test_a_spoilt_answer_takes_no_other_set_up_along() -> None:
+def test_malformed_answer_does_not_affect_other_set_ups() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         caller.call()
-        spoilt = platform.servers[0].accept()
-        peers.invite(spoilt)
+        malformed = platform.servers[0].accept()
+        peers.invite(malformed)
         other = caller.call()
         sound = platform.servers[0].accept()
-        asked = peers.invite(sound)
-        spoilt.send(b"\xffnoise\r\n\r\n")
-        peers.until(lambda: running.events("closed"), why="the end of the spoilt line")
-        peers.reply(sound, asked, 200, b"answer")
+        invite = peers.invite(sound)
+        malformed.send(b"\xffnoise\r\n\r\n")
+        peers.until(lambda: running.events("closed"), why="the end of the malformed connection")
+        peers.reply(sound, invite, 200, b"answer")
         assert caller.final_answer(other).type == binary.ANSWER
 
 
-def test_a_second_copy_and_an_answer_under_an_unknown_id_change_nothing() -> None:
+def test_duplicate_and_unknown_answers_are_ignored() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         call = caller.call()
         server = platform.servers[0].accept()
-        asked = peers.invite(server)
-        head = sip.response(asked, 200, b"OK").replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer"
+        invite = peers.invite(server)
+        head = (
+            sip.response(invite, 200, b"OK").replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer"
+        )
         server.send(head.replace(call.hex().encode(), b"00000000deadbeef") + head + head)
         assert caller.final_answer(call).parameters[binary.DESCRIPTION] == b"answer"
         assert caller.silent(0.3)
@@ -254,7 +263,7 @@
         assert caller.final_answer(call).parameters[binary.CAUSE] == bytes([16])
 
 
-def test_news_of_the_bus_are_followed_and_a_reused_address_is_another_server() -> None:
+def test_bus_events_are_followed_and_a_reused_address_is_another_server() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         bus = platform.accept_bus_connection()
@@ -267,7 +276,7 @@
         news = [b'{"offset":1}', b"1", json.dumps(peers.event(2, gone, new)).encode()]
         bus.sendall(b"\n".join(news) + b"\n")
         assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([41])
-        with pytest.raises(EOFError):  # nothing is left for the server that has gone
+        with pytest.raises(EOFError):  # the connection to the removed server is closed
             old.next(lambda _: False)
         second, _ = establish_call(platform, caller)  # on a connection of its own
         assert second != call
@@ -282,7 +291,7 @@
         assert 0 < int(refused.parameters[binary.RETRY_AFTER]) <= 2000
 
 
-def test_malformed_input_costs_its_connection_or_message_alone() -> None:
+def test_malformed_input_affects_its_connection_or_message_only() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -305,7 +314,7 @@
         assert establish_call(platform, caller)[0] != call
 
 
-def test_sigterm_serves_what_crosses_answers_all_and_exits_with_0() -> None:
+def test_sigterm_answers_every_set_up_and_exits_with_0() -> None:
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -318,7 +327,7 @@
         assert late.final_answer(crossing).type == binary.ANSWER
         unanswered = late.call(time_limit_ms=9000)
         assert late.final_answer(unanswered).type == binary.RELEASE
-        assert late.final_answer(crossing).type == binary.RELEASE  # what still stands is released at the end
+        assert late.final_answer(crossing).type == binary.RELEASE  # standing calls are released at the end
         assert caller.final_answer(call).type == binary.RELEASE
         assert running.process.wait(3) == 0
         assert running.events("counters")[-1]["answers.stands"] == 2
@@ -335,7 +344,9 @@
         ("bus", None, "bus"),
     ],
 )
-def test_bad_configuration_is_one_line_that_names_the_key(key: str, value: object, expected: str) -> None:
+def test_invalid_configuration_is_reported_in_one_line_that_names_the_key(
+    key: str, value: object, expected: str
+) -> None:
     platform = peers.Platform()
     platform.config[key] = value
     with platform.run() as running:
@@ -343,27 +354,27 @@
         assert expected in running.text() and running.text().count("\n") == 1
 
 
-def test_an_address_in_use_is_told_in_one_line() -> None:
+def test_address_in_use_is_reported_in_one_line() -> None:
     platform = peers.Platform()
     with socket.create_server(("127.0.0.1", platform.port)), platform.run() as running:
         assert running.process.wait(5) == 1
         assert len(running.events("crashed")) == 1
 
 
-def test_without_configuration_the_program_says_what_is_missing() -> None:
+def test_missing_configuration_is_reported() -> None:
     environ = {k: v for k, v in os.environ.items() if k != "GW_CONFIG"}
-    words = [sys.executable, "-m", "harepick"]
-    done = subprocess.run(words, env=environ, cwd=peers.ROOT, capture_output=True, text=True)
-    assert done.returncode == 2 and "GW_CONFIG" in done.stderr
+    command = [sys.executable, "-m", "harepick"]
+    result = subprocess.run(command, env=environ, cwd=peers.ROOT, capture_output=True, text=True)
+    assert result.returncode == 2 and "GW_CONFIG" in result.stderr
 
 
-def test_sighup_follows_a_new_bus_from_the_last_event_and_a_faulty_file_changes_nothing() -> None:
-    """The old bus stays open and tells nothing more: what the new one has must be heard at once."""
+def test_sighup_switches_the_bus_and_ignores_a_faulty_file() -> None:
+    """The old bus stays open and sends nothing more: events of the new one must be received at once."""
     platform = peers.Platform()
     with platform.run() as running:
         old = platform.accept_bus_connection()
         assert old.recv(100) == b"from 1\n"
-        platform.path.write_text(json.dumps(platform.config)[:-40])  # half written
+        platform.path.write_text(json.dumps(platform.config)[:-40])  # truncated
         running.process.send_signal(signal.SIGHUP)
         peers.until(lambda: running.events("reload_failed"), why="the faulty file")
         with peers.listen() as bus:
@@ -374,31 +385,32 @@
             running.process.send_signal(signal.SIGHUP)
             follower = bus.accept()[0]
             assert follower.recv(100) == b"from 1\n"
-            told = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
-            assert told["waiting_for_restart"] == ["sockets"]
+            reloaded = peers.until(lambda: running.events("reloaded"), why="the new file")[0]
+            assert reloaded["waiting_for_restart"] == ["sockets"]
             drain = peers.event(2, peers.row("s0", platform.servers[0].address, 0, "DRAINING"))
             follower.sendall(json.dumps(drain).encode() + b"\n")
             peers.until(lambda: running.events("list"), why="the drain")
-            assert old.recv(100) == b""  # and the old bus is left
+            assert old.recv(100) == b""  # the connection to the old bus is closed
         assert running.stop() == 0
 
 
-def test_a_bus_that_stops_or_breaks_is_asked_again_before_its_news_count_as_told() -> None:
-    """They count 4 s after a stop and 2 s after a break, also when a first try finds nobody there."""
+def test_silent_or_broken_bus_connection_is_replaced_in_time() -> None:
+    """The platform holds an instance to events 4 s after a connection falls silent and 2 s after it
+    breaks, also if the first attempt to reconnect fails."""
     platform = peers.Platform()
     with platform.run():
         silent = platform.accept_bus_connection()
-        begun = time.time()
-        broken = platform.accept_bus_connection()  # the first has said nothing for a while
-        assert time.time() - begun < 3.0
+        started_at = time.time()
+        broken = platform.accept_bus_connection()  # opened as the first one is silent
+        assert time.time() - started_at < 3.0
         assert broken.recv(100) == b"from 1\n"
         address = platform.bus.getsockname()
         platform.bus.close()
-        broken.sendall(b'{"offset":2,"topo')  # it breaks off in the middle of an event
+        broken.sendall(b'{"offset":2,"topo')  # the connection breaks in the middle of an event
         broken.close()
-        time.sleep(1.6)  # long enough for growing pauses to become too long
+        time.sleep(1.6)  # long enough for unbounded backoff to become too long
         with socket.create_server(address) as platform.bus:
-            begun = time.time()
+            started_at = time.time()
             assert platform.accept_bus_connection().recv(100) == b"from 1\n"
-            assert time.time() - begun < 0.7
+            assert time.time() - started_at < 0.7
         silent.close()
