--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -1,7 +1,7 @@
-"""What tools may ask of a replica, over its port: configuration, history, members, status.
+"""Serves tools on the operators' port: configuration, history, members, status.
 
-`docs/protocol/operators.md` lists methods, arguments and error codes. One request of a connection after
-another; a watch takes its connection over.
+`docs/protocol/operators.md` lists methods, arguments and error codes. The requests of a connection are served
+one after another; a watch occupies its connection until it is closed.
 """
 
 from __future__ import annotations
@@ -35,22 +35,22 @@
 )
 from harepick.store.wire import Frames, Request, Response
 
-WAIT = 10.0  # seconds that a request may take, if the tool names none
-MAX_WAIT = 60.0
-STALL = 5.0  # seconds that a tool may leave an answer unread
-BEAT = 5.0  # seconds between two signs of life of a watch
-IDLE = 300.0
+DEFAULT_WAIT_S = 10.0  # for a request without the argument `wait`
+MAX_WAIT_S = 60.0
+SEND_TIMEOUT_S = 5.0  # for one answer to a tool that does not read
+HEARTBEAT_INTERVAL_S = 5.0  # of a watch without new revisions
+IDLE_TIMEOUT_S = 300.0  # a connection without a request for this long is closed
 
 Method = Callable[["OperatorApi", dict[str, Any], float], Awaitable[Any]]
-MoreMethod = Callable[[dict[str, Any], float], Awaitable[Any]]
+ExtraMethod = Callable[[dict[str, Any], float], Awaitable[Any]]
 
 
 class BadRequestError(ValueError):
-    """Arguments that make no sense; the text names the one."""
+    """Invalid arguments of a request; the text names the argument."""
 
 
 class OutcomeError(Exception):
-    """An answer that is no success: a code of the page, and a text."""
+    """A request that failed: an error code of the protocol page and a text."""
 
     def __init__(self, code: str, text: str) -> None:
         super().__init__(text)
@@ -58,7 +58,7 @@
 
 
 def argument_text(arguments: dict[str, Any], name: str, default: str | None = None) -> str:
-    """Raises `BadRequestError`, as the next one does."""
+    """Returns a text argument; raises `BadRequestError` if it is missing without a default, or no text."""
     value = arguments.get(name, default)
     if not isinstance(value, str):
         raise BadRequestError(f"argument {name} is no text: {value!r}")
@@ -66,17 +66,19 @@
 
 
 def argument_number(arguments: dict[str, Any], name: str, default: int | None = None) -> int:
+    """Returns an integer argument of at least 0; raises `BadRequestError` otherwise."""
     value = arguments.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         raise BadRequestError(f"argument {name} is no number: {value!r}")
     return value
 
 
-def _optional(arguments: dict[str, Any], name: str) -> int | None:
+def _optional_number(arguments: dict[str, Any], name: str) -> int | None:
     return None if arguments.get(name) is None else argument_number(arguments, name)
 
 
-def told(revision: Revision, *, text: bool = True) -> dict[str, Any]:
+def revision_row(revision: Revision, *, text: bool = True) -> dict[str, Any]:
+    """Returns a revision as tools get it; `at` is Unix time in seconds."""
     row: dict[str, Any] = {
         "revision": revision.number,
         "author": revision.author,
@@ -87,42 +89,46 @@
 
 
 class OperatorApi:
-    """Serves the tools of one replica."""
+    """Serves the tools that are connected to one replica.
+
+    A method takes the arguments of a request and its timeout in seconds, and returns the result.
+    """
 
     def __init__(
-        self, replica: Replica, counters: Counters, more: Mapping[str, MoreMethod] | None = None
+        self, replica: Replica, counters: Counters, extra_methods: Mapping[str, ExtraMethod] | None = None
     ) -> None:
-        """`more`: methods of other parts of the program, beside the store's own."""
+        """`extra_methods`: methods of other parts of the program, in addition to the store's own."""
         self._replica, self._counters = replica, counters
-        self._more = more or {}
+        self._extra_methods = extra_methods or {}
         replica.transport.serve_tool = self.serve
 
     async def serve(self, stream: ByteStream, frames: Frames) -> None:
+        """Serves one connection after its handshake; raises `TimeoutError` if the tool stalls."""
         while True:
-            with anyio.fail_after(IDLE):
+            with anyio.fail_after(IDLE_TIMEOUT_S):
                 request = wire.requests.read(await frames.next())
             self._counters.add("store.requests")
             if request.method == "watch":
                 await self._watch(stream, request)
                 return
-            with anyio.fail_after(STALL + MAX_WAIT):
+            with anyio.fail_after(SEND_TIMEOUT_S + MAX_WAIT_S):
                 await self._send(stream, await self._answer(request))
 
     async def _send(self, stream: ByteStream, response: Response) -> None:
-        with anyio.fail_after(STALL):
+        with anyio.fail_after(SEND_TIMEOUT_S):
             await stream.send(wire.frame(response))
 
     async def _answer(self, request: Request) -> Response:
-        method, more = METHODS.get(request.method), self._more.get(request.method)
-        if method is None and more is None:
+        method, extra_method = METHODS.get(request.method), self._extra_methods.get(request.method)
+        if method is None and extra_method is None:
             return Response(request.id, error="unknown_method", text=f"no method {request.method!r}")
-        wait = request.arguments.get("wait", WAIT)
-        if isinstance(wait, bool) or not isinstance(wait, int | float) or not 0 < wait <= MAX_WAIT:
+        wait = request.arguments.get("wait", DEFAULT_WAIT_S)
+        if isinstance(wait, bool) or not isinstance(wait, int | float) or not 0 < wait <= MAX_WAIT_S:
             return Response(request.id, error="bad_request", text=f"argument wait makes no sense: {wait!r}")
         try:
             if method is None:
-                assert more
-                return Response(request.id, await more(request.arguments, float(wait)))
+                assert extra_method
+                return Response(request.id, await extra_method(request.arguments, float(wait)))
             return Response(request.id, await method(self, request.arguments, float(wait)))
         except NotLeaderError as error:
             return Response(
@@ -141,76 +147,86 @@
 
     # Reading
 
-    async def _fresh(self, arguments: dict[str, Any], wait: float) -> None:
-        """Unless the tool takes what is here, the leader shows that it is current first."""
+    async def _ensure_current(self, arguments: dict[str, Any], wait: float) -> None:
+        """Makes the leader confirm its leadership before a read, unless the tool accepts a stale answer."""
         if not arguments.get("stale"):
             await self._replica.read(wait)
 
     async def get(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        await self._fresh(arguments, wait)
-        number = _optional(arguments, "revision")
-        machine = self._replica.node.state_machine
-        revision = machine.latest if number is None else machine.revision(number)
+        """Returns the revision `revision`, by default the latest."""
+        await self._ensure_current(arguments, wait)
+        number = _optional_number(arguments, "revision")
+        state_machine = self._replica.node.state_machine
+        revision = state_machine.latest if number is None else state_machine.revision(number)
         if revision is None:
             raise OutcomeError(
                 "no_revision", f"revision {number} is not kept" if number else "there is none yet"
             )
-        return told(revision)
+        return revision_row(revision)
 
     async def history(self, arguments: dict[str, Any], wait: float) -> list[dict[str, Any]]:
-        await self._fresh(arguments, wait)
+        """Returns the latest revisions without their texts."""
+        await self._ensure_current(arguments, wait)
         most = argument_number(arguments, "most", 20)
-        return [told(r, text=False) for r in self._replica.node.state_machine.history(most)]
+        return [
+            revision_row(revision, text=False) for revision in self._replica.node.state_machine.history(most)
+        ]
 
     async def views(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        await self._fresh(arguments, wait)
+        """Returns the stored pool view of each instance."""
+        await self._ensure_current(arguments, wait)
         views = self._replica.node.state_machine.views
         fields = ("server", "number", "state", "size", "started", "zone", "address")
         return {
-            name: {"at": view.at, "rows": [{f: getattr(row, f) for f in fields} for row in view.rows]}
+            name: {
+                "at": view.at,
+                "rows": [{field: getattr(row, field) for field in fields} for row in view.rows],
+            }
             for name, view in views.items()
         }
 
     async def status(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+        """Returns the status of this replica."""
         del arguments, wait
         return self._replica.status()
 
     async def _watch(self, stream: ByteStream, request: Request) -> None:
-        """Every revision after `after`, in order, none missed or told twice; a beat when there is none."""
+        """Sends each revision after `after` once and in order, and heartbeats while there are no new ones."""
         try:
             last = argument_number(request.arguments, "after", 0)
         except BadRequestError as error:
             await self._send(stream, Response(request.id, error="bad_request", text=str(error)))
             return
-        machine = self._replica.node.state_machine
+        state_machine = self._replica.node.state_machine
         while True:
-            machine = self._replica.node.state_machine
-            latest = machine.latest.number if machine.latest else 0
+            state_machine = self._replica.node.state_machine
+            latest = state_machine.latest.number if state_machine.latest else 0
             while last < latest:
-                revision = machine.revision(last + 1)
+                revision = state_machine.revision(last + 1)
                 if revision is None:
                     text = f"revision {last + 1} is not kept any more; read the latest and watch from there"
                     await self._send(stream, Response(request.id, error="compacted", text=text))
                     return
-                await self._send(stream, Response(request.id, told(revision), more=True))
+                await self._send(stream, Response(request.id, revision_row(revision), more=True))
                 last += 1
-            if machine.latest and machine.latest.number > last:
+            if state_machine.latest and state_machine.latest.number > last:
                 continue
-            await self._replica.wait_for_change(BEAT)
-            if not machine.latest or machine.latest.number <= last:
+            await self._replica.wait_for_change(HEARTBEAT_INTERVAL_S)
+            if not state_machine.latest or state_machine.latest.number <= last:
                 await self._send(stream, Response(request.id, {"latest": last}, more=True))
 
     # Changing
 
     async def set(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+        """Checks a configuration and stores it as the next revision."""
         text = argument_text(arguments, "text")
-        read_store_config(text)  # the same reader as the file's, before anything is proposed
+        read_store_config(text)  # checked by the reader that adopts it, before it is proposed
         if may_need_start_times(text):
             latest = self._replica.node.state_machine.latest
             text = await run_sync(with_start_times, text, latest.text if latest else "", time.time())
         body = Put(
             text,
-            _optional(arguments, "expect"),
+            _optional_number(arguments, "expect"),
             argument_text(arguments, "author", ""),
             argument_text(arguments, "note", ""),
             time.time(),
@@ -218,15 +234,18 @@
         return await self._change(arguments, body, wait)
 
     async def rollback(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        to = argument_number(arguments, "to")
+        """Stores the text of an earlier revision as the next one."""
+        target = argument_number(arguments, "to")
         await self._replica.read(wait)
-        old = self._replica.node.state_machine.revision(to)
-        if old is None:
-            raise OutcomeError("no_revision", f"revision {to} is not kept")
-        read_store_config(old.text)  # this version may read differently from the one that took it
+        restored = self._replica.node.state_machine.revision(target)
+        if restored is None:
+            raise OutcomeError("no_revision", f"revision {target} is not kept")
+        read_store_config(
+            restored.text
+        )  # the version of the program that accepted it may have had other rules
         body = RollBack(
-            to,
-            _optional(arguments, "expect"),
+            target,
+            _optional_number(arguments, "expect"),
             argument_text(arguments, "author", ""),
             argument_text(arguments, "note", ""),
             time.time(),
@@ -238,38 +257,43 @@
         return _result(await self._replica.change(Envelope(session, number, body), wait))
 
     async def add(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
-        name, where = argument_text(arguments, "replica"), argument_text(arguments, "address")
-        peer_address(where, "address")
-        return _result(await self._replica.add(name, where, wait))
+        """Adds a member."""
+        name, address = argument_text(arguments, "replica"), argument_text(arguments, "address")
+        peer_address(address, "address")
+        return _result(await self._replica.add(name, address, wait))
 
     async def remove(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+        """Removes a member, also from the list of absent members."""
         name = argument_text(arguments, "replica")
-        found: dict[str, Any] = {}
+        result: dict[str, Any] = {}
         if self._replica.node.raft.membership.get(name) or not self._replica.node.state_machine.absences.get(
             name
         ):
-            found = _result(await self._replica.remove(name, wait))
-        roster = self._replica.node.state_machine.absences
-        if roster.get(name):  # for good: it is not taken back when it returns
-            mark = SetMemberState(name, PRESENT, roster.version, why="removed by hand")
-            answer = await self._replica.change(Envelope("", 0, mark), wait)
+            result = _result(await self._replica.remove(name, wait))
+        absences = self._replica.node.state_machine.absences
+        if absences.get(name):  # off the list, it is not added again when it returns
+            command = SetMemberState(name, PRESENT, absences.version, why="removed by hand")
+            answer = await self._replica.change(Envelope("", 0, command), wait)
             if not isinstance(answer, StepApplied):
                 raise OutcomeError(
                     "conflict", f"the roster changed meanwhile ({answer}): remove {name} again"
                 )
-            found = found or {"index": answer.index}
-        return found
+            result = result or {"index": answer.index}
+        return result
 
     async def transfer(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+        """Transfers the leadership to another member."""
         await self._replica.transfer(argument_text(arguments, "replica"), wait)
         return {"leader": self._replica.node.raft.leader}
 
     async def snapshot(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+        """Writes a snapshot and returns its index once it is durable."""
         del arguments
         return {"index": await self._replica.snapshot(wait)}
 
 
 def _result(answer: Answer) -> dict[str, Any]:
+    """Turns the node's answer to a change into a result; raises `OutcomeError` unless it took effect."""
     match answer:
         case Done(revision, index):
             return {"revision": revision, "index": index}
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -1,7 +1,7 @@
-"""The host of one replica: one task owns the node; the disk has a thread, the sockets are the transport's.
+"""Runs one replica: feeds its node with inputs, writes to its disk and connects it to the transport.
 
-All that reaches the node comes through one queue. Disk work never blocks the loop: one write is in the
-thread at a time, and what comes meanwhile gathers for the next.
+A single task owns the node; everything else reaches it through one queue. Disk work runs in a worker thread,
+one job at a time, so that it never blocks the event loop; the node batches what arrives during a write.
 """
 
 from __future__ import annotations
@@ -31,25 +31,29 @@
 from harepick.store.state_machine import Envelope, FormatError, Revision, StateMachine
 from harepick.store.transport import Transport
 
-TICK = 0.02  # seconds
-DEMAND_HOLDS = 2.0  # seconds after which an instance's demand is not counted any more
-INBOX = 16_384  # inputs that wait; what finds it full is dropped, as a network would
-TURN = 256  # inputs in one turn
-SNAPSHOTS = 64  # tools that wait for a snapshot
-STOPPED_COME_BACK = 5.0  # seconds that callers of a stopped replica are told to stay away
+TICK_INTERVAL_S = 0.02
+DEMAND_LIFETIME_S = 2.0  # a reported demand counts for this long
+MAX_INBOX = 16_384  # queued inputs; further ones are dropped, like messages lost by a network
+MAX_INPUTS_PER_TURN = 256  # inputs handled between two polls of the node
+MAX_SNAPSHOT_WAITERS = 64  # requests that may wait for a snapshot
+STOPPED_RETRY_S = 5.0  # retry delay told to callers that a stopped replica refuses
 
 
 def clock() -> float:
-    """Seconds that also pass while the machine is suspended; only the rate counts."""
+    """Returns seconds since an arbitrary start, including time for which the machine was suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class StoreUnavailableError(Exception):
-    """The replica can't answer that now; the text says why."""
+    """The replica can't answer the request now; the text says why."""
 
 
 def initialize_replica(settings: StoreSettings, *, join: bool = False) -> Identity:
-    """A new folder for this replica; `join`: it waits to be added to a cluster. Raises `StorageError`."""
+    """Creates the folder of a new replica and returns its identity.
+
+    With `join`, the replica starts without members and waits until it is added to a cluster. Raises
+    `StorageError`.
+    """
     files = OsFiles(settings.folder)
     files.lock()
     try:
@@ -65,7 +69,7 @@
 
 
 class _Waiter:
-    """A request's answer, for the task that waits for it."""
+    """Hands a request's answer or error to the task that waits for it."""
 
     def __init__(self) -> None:
         self._event = anyio.Event()
@@ -84,7 +88,10 @@
 
 
 class Replica:
-    """Raises `StorageError` from `open` if the folder can't be used."""
+    """One replica of the store.
+
+    Call `open` first, which raises `StorageError` if the folder can't be used, then `run`.
+    """
 
     def __init__(
         self,
@@ -94,175 +101,188 @@
         adopt: Callable[[Revision], None] = lambda revision: None,
         follow: Callable[[StateMachine], None] = lambda machine: None,
     ) -> None:
+        """`adopt` is called with each new revision of the configuration, `follow` after entries were applied.
+
+        `adopt` may raise `SettingsError`: the replica then stops.
+        """
         self.settings = settings
         self._counters, self._log, self._adopt = counters, log, adopt
         self._follow = follow
         self._storage = Storage(OsFiles(settings.folder))
         self._inbox: deque[Callable[[], None]] = deque()
-        self._some = anyio.Event()
-        self._to_disk: deque[tuple[Callable[[], None], Callable[[], None]]] = deque()  # one at most
-        self._disk_some = anyio.Event()
+        self._inbox_filled = anyio.Event()
+        self._disk_jobs: deque[tuple[Callable[[], None], Callable[[], None]]] = deque()  # one at most
+        self._disk_job_added = anyio.Event()
         self._writing = False
-        self._wanted: list[tuple[int, _Waiter]] = []  # snapshots asked for: of this entry at least
-        self._changed = anyio.Event()  # something to look at: a revision, a role, members
-        self._seen: tuple[object, ...] = ()
-        self._members_seen: object = None
-        self.rejoin_attempts: dict[str, float] = {}  # known folder, no member -> when turned away last
-        self._stopped_told = False
+        self._snapshot_waiters: list[tuple[int, _Waiter]] = []  # (least index of the snapshot, who waits)
+        self._state_changed = anyio.Event()  # set on a new revision, role, membership or applied entry
+        self._last_state: tuple[object, ...] = ()
+        self._last_members: object = None
+        # Replica that is no member and came with its known folder -> time of its last attempt, by `clock`.
+        self.rejoin_attempts: dict[str, float] = {}
+        self._stop_logged = False
         self.identity: Identity
         self.node: Node
         self.transport: Transport
 
-    # The start
+    # Start
 
     def open(self) -> None:
-        """Reads the folder; blocking. One alone makes its own."""
+        """Reads the folder, blocking. A replica configured as the only member creates a missing one."""
         files = OsFiles(self.settings.folder)
         if self.settings.alone and read_identity(files) is None:
             initialize_replica(self.settings)
             self._log.event("store_made", folder=self.settings.folder, replica=self.settings.replica)
-        gc.disable()  # nothing that a start reads is garbage, and there may be a hundred thousand of it
+        # The garbage collector would scan up to 100,000 recovered entries again and again and find nothing.
+        gc.disable()
         try:
-            found = self._storage.open()
+            recovered = self._storage.open()
         finally:
             gc.enable()
             gc.freeze()
-        self.identity = found.identity
+        self.identity = recovered.identity
         for key in ("cluster", "replica"):
-            told, kept = getattr(self.settings, key), getattr(found.identity, key)
-            if told != kept:
-                raise StorageError(f"setting store.{key} is {told!r}; the folder is {kept!r}'s")
-        for note in found.notes:
+            configured, stored = getattr(self.settings, key), getattr(recovered.identity, key)
+            if configured != stored:
+                raise StorageError(f"setting store.{key} is {configured!r}; the folder is {stored!r}'s")
+        for note in recovered.notes:
             self._counters.add("store.notes")
             self._log.event("store_recovered", note=note)
-        self._make_node(found)
+        self._make_node(recovered)
 
-    def _make_node(self, found: Recovered) -> None:
+    def _make_node(self, recovered: Recovered) -> None:
         try:
             self.node = Node(
                 self.identity.replica,
                 Random(secrets.randbits(64)),
-                found.hard,
-                found.snapshot,
-                found.entries,
+                recovered.hard,
+                recovered.snapshot,
+                recovered.entries,
                 clock(),
                 lease=self.settings.lease,
-                adopt=self._adopted,
-                follow=self._followed,
+                adopt=self._on_adopted,
+                follow=self._on_applied,
             )
         except FormatError as error:
             raise StorageError(f"folder {self.settings.folder}: {error}") from None
         pins = self._storage.pins()
         self.transport = Transport(
-            self.identity, self.settings.listen, pins, self._heard, self._pin, self._counters, self._log
+            self.identity,
+            self.settings.listen,
+            pins,
+            self._on_message,
+            self._save_pins,
+            self._counters,
+            self._log,
         )
-        self.transport.on_rejoin_attempt = self._knocked
+        self.transport.on_rejoin_attempt = self._on_rejoin_attempt
         self._log.event(
             "store_open",
             replica=self.identity.replica,
-            term=found.hard.term,
-            snapshot=found.snapshot.index,
-            entries=len(found.entries),
+            term=recovered.hard.term,
+            snapshot=recovered.snapshot.index,
+            entries=len(recovered.entries),
         )
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Takes part until cancelled."""
+        """Runs transport, disk and node until cancelled; then drops the lease and closes the storage."""
         try:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(self.transport.run)
-                tasks.start_soon(self._disk)
+                tasks.start_soon(self._run_disk)
                 task_status.started()
-                await self._own()
+                await self._run_node()
         finally:
             self.node.lease.drop()
             self._storage.close()
 
-    async def _own(self) -> None:
-        """The one task that touches the node."""
+    async def _run_node(self) -> None:
+        """Feeds the node with inputs and ticks; the only task that calls it."""
         next_tick = clock()
         while True:
             now = clock()
             if self._inbox:
-                for _ in range(min(len(self._inbox), TURN)):
+                for _ in range(min(len(self._inbox), MAX_INPUTS_PER_TURN)):
                     self._inbox.popleft()()
-            # One tick a turn: a process that was paused has not heard silence, it has been silent.
+            # At most one tick per turn: a paused process must not take its pause for silence of the leader.
             if now >= next_tick:
-                next_tick = max(next_tick + TICK, now)
+                next_tick = max(next_tick + TICK_INTERVAL_S, now)
                 self.node.tick(now)
             self._poll()
             if self._inbox or self.node.has_unapplied:
                 await anyio.lowlevel.checkpoint()
                 continue
-            self._some = anyio.Event()
+            self._inbox_filled = anyio.Event()
             wait = min(next_tick, self.node.next_check_at(clock()) + 0.001) - clock()
             with anyio.move_on_after(max(0.0, wait)):
-                await self._some.wait()
+                await self._inbox_filled.wait()
 
     def _poll(self) -> None:
-        told = self.node.poll(clock())
-        for to, message in told.outbox:
+        """Sends the node's messages, delivers answers and starts the next disk job."""
+        output = self.node.poll(clock())
+        for to, message in output.outbox:
             self.transport.send(to, message)
-        for waiter, answer in told.answers:
+        for waiter, answer in output.answers:
             if isinstance(waiter, _Waiter):
                 waiter.set(answer)
         if not self._writing and not self.node.stopped:
-            if self._wanted and (snapshot := self.node.take_snapshot()):
+            if self._snapshot_waiters and (snapshot := self.node.take_snapshot()):
                 self._save(snapshot)
             elif writes := self.node.writes():
-                self._hand_to_disk(partial(self._write, writes), partial(self._written, writes))
+                self._start_disk_job(partial(self._write, writes), partial(self._written, writes))
             elif snapshot := self.node.snapshot_due():
                 self._save(snapshot)
-        if self._wanted:
-            self._tell_snapshots()
-        self._look()
+        if self._snapshot_waiters:
+            self._answer_snapshot_waiters()
+        self._track_state()
 
-    def _tell_snapshots(self) -> None:
-        """Answers those whose snapshot is durable; one that a leader sent counts once it is restored."""
+    def _answer_snapshot_waiters(self) -> None:
+        """Answers requests whose snapshot is durable; one that a leader sent counts once it is restored."""
         index = self.node.raft.snapshot.index
         if self.node.stopped:
-            over = StoreUnavailableError(f"this replica has stepped aside: {self.node.stopped}")
-            for _, waiter in self._wanted:
-                waiter.set(over)
-            self._wanted.clear()
+            stopped_error = StoreUnavailableError(f"this replica has stepped aside: {self.node.stopped}")
+            for _, waiter in self._snapshot_waiters:
+                waiter.set(stopped_error)
+            self._snapshot_waiters.clear()
         elif index <= self.node.state_machine.applied:
-            for least, waiter in self._wanted:
-                if least <= index:
+            for required_index, waiter in self._snapshot_waiters:
+                if required_index <= index:
                     waiter.set(index)
-            self._wanted = [wanted for wanted in self._wanted if wanted[0] > index]
+            self._snapshot_waiters = [pending for pending in self._snapshot_waiters if pending[0] > index]
 
-    def _look(self) -> None:
-        """Follows what the node has come to, for those who watch."""
+    def _track_state(self) -> None:
+        """Passes changes of membership, role and state on to the transport, the log and waiting tasks."""
         raft = self.node.raft
-        # Until a change is committed both hold: a leader that is removed has to hear that it is.
-        now, settled = raft.membership, raft.membership_at(raft.commit)
-        if (now, settled) != self._members_seen:
-            self._members_seen = (now, settled)
-            rows = {m.id: m.address for m in (*settled.members, *now.members)}
-            # One that knows no members yet has to listen to whoever adds it.
-            self.transport.members(rows, lambda name: not rows or name in rows)
+        # Until a change is committed both memberships count: a removed leader has to learn of its removal.
+        current, committed = raft.membership, raft.membership_at(raft.commit)
+        if (current, committed) != self._last_members:
+            self._last_members = (current, committed)
+            addresses = {member.id: member.address for member in (*committed.members, *current.members)}
+            # A replica that knows no members yet must accept a connection from whoever adds it.
+            self.transport.set_members(addresses, lambda name: not addresses or name in addresses)
             self.notify()
-        if self.node.stopped and not self._stopped_told:
-            self._stopped_told = True
+        if self.node.stopped and not self._stop_logged:
+            self._stop_logged = True
             self._counters.add("store.stopped")
             self._log.event("store_stopped", why=self.node.stopped)
-        seen = (raft.role, raft.term, raft.leader, self.node.stopped)
-        if seen != self._seen:
-            if self._seen and seen[:3] != self._seen[:3]:
+        state = (raft.role, raft.term, raft.leader, self.node.stopped)
+        if state != self._last_state:
+            if self._last_state and state[:3] != self._last_state[:3]:
                 self._log.event("store_role", role=raft.role.value, term=raft.term, leader=raft.leader)
-            self._seen = seen
+            self._last_state = state
             self.notify()
 
     def notify(self) -> None:
-        """Wakes all who wait in `wait_for_change`."""
-        self._changed.set()
-        self._changed = anyio.Event()
+        """Wakes all tasks that wait in `wait_for_change`."""
+        self._state_changed.set()
+        self._state_changed = anyio.Event()
 
-    async def wait_for_change(self, most: float) -> None:
-        """Returns after the next change of revision, role or state, or after `most` seconds."""
-        with anyio.move_on_after(most):
-            await self._changed.wait()
+    async def wait_for_change(self, timeout: float) -> None:
+        """Returns after the next change of revision, role or state, or after `timeout` seconds."""
+        with anyio.move_on_after(timeout):
+            await self._state_changed.wait()
 
-    def _adopted(self, revision: Revision) -> None:
+    def _on_adopted(self, revision: Revision) -> None:
         try:
             self._adopt(revision)
         except SettingsError as error:
@@ -270,116 +290,129 @@
             return
         self.notify()
 
-    def _followed(self, machine: StateMachine) -> None:
-        self._follow(machine)
+    def _on_applied(self, state_machine: StateMachine) -> None:
+        self._follow(state_machine)
         self.notify()
 
     # Inputs
 
-    def _put(self, work: Callable[[], None]) -> bool:
-        if len(self._inbox) >= INBOX:
+    def _enqueue(self, work: Callable[[], None]) -> bool:
+        if len(self._inbox) >= MAX_INBOX:
             self._counters.add("store.inbox_full")
             return False
         self._inbox.append(work)
-        self._some.set()
+        self._inbox_filled.set()
         return True
 
-    def _heard(self, sender: str, message: PeerMessage) -> None:
-        self._put(lambda: self.node.receive(sender, message, clock()))
+    def _on_message(self, sender: str, message: PeerMessage) -> None:
+        self._enqueue(lambda: self.node.receive(sender, message, clock()))
 
-    def _knocked(self, name: str) -> None:
-        self.rejoin_attempts[name] = clock()  # bounded as the pins are: by all who ever were members
+    def _on_rejoin_attempt(self, name: str) -> None:
+        self.rejoin_attempts[name] = clock()  # bounded, like the pins, by the replicas that ever were members
 
-    async def _ask(self, work: Callable[[_Waiter], Any], most: float) -> Answer:
-        """Has the owning task carry that out, and waits for the answer, for `most` seconds."""
+    async def _submit(self, work: Callable[[_Waiter], Any], timeout: float) -> Answer:
+        """Runs `work` in the task that owns the node and waits up to `timeout` seconds for the answer.
+
+        Raises `StoreUnavailableError`, and whatever `work` raises.
+        """
         if self.node.stopped:
             raise StoreUnavailableError(f"this replica has stepped aside: {self.node.stopped}")
         waiter = _Waiter()
 
-        def turn() -> None:
+        def run_work() -> None:
             try:
                 work(waiter)
-            except Exception as error:  # the asker's error: it gets it, the owner goes on
+            except Exception as error:  # goes to the task that asked; the owning task goes on
                 waiter.set(error)
 
-        if not self._put(turn):
+        if not self._enqueue(run_work):
             raise StoreUnavailableError("this replica is too busy")
-        with anyio.move_on_after(most):
+        with anyio.move_on_after(timeout):
             return await waiter.wait()
-        raise StoreUnavailableError(f"no answer in {most:g} s; whether it took effect is not known")
+        raise StoreUnavailableError(f"no answer in {timeout:g} s; whether it took effect is not known")
+
+    async def change(self, envelope: Envelope, timeout: float) -> Answer:
+        """Replicates a command and returns its result.
+
+        Raises `NotLeaderError`, `BusyError`, `StoreUnavailableError`.
+        """
+        return await self._submit(lambda waiter: self.node.change(envelope, waiter), timeout)
 
-    async def change(self, envelope: Envelope, most: float) -> Answer:
-        """Raises `NotLeaderError`, `BusyError`, `StoreUnavailableError`."""
-        return await self._ask(lambda waiter: self.node.change(envelope, waiter), most)
+    async def read(self, timeout: float) -> None:
+        """Returns once the local state is no older than this call (a linearizable read).
 
-    async def read(self, most: float) -> None:
-        """Returns once the state here is no older than this call."""
-        if isinstance(await self._ask(self.node.read, most), LeadershipLost):
+        Raises `NotLeaderError`, `StoreUnavailableError`.
+        """
+        if isinstance(await self._submit(self.node.read, timeout), LeadershipLost):
             raise NotLeaderError(self.node.raft.leader)
 
-    async def add(self, name: str, where: str, most: float) -> Answer:
-        return await self._ask(lambda waiter: self.node.add(name, where, waiter), most)
+    async def add(self, name: str, address: str, timeout: float) -> Answer:
+        """Adds a member; raises `NotLeaderError`, `BadChangeError`, `BusyError`, `StoreUnavailableError`."""
+        return await self._submit(lambda waiter: self.node.add(name, address, waiter), timeout)
 
-    async def remove(self, name: str, most: float) -> Answer:
-        return await self._ask(lambda waiter: self.node.remove(name, waiter), most)
+    async def remove(self, name: str, timeout: float) -> Answer:
+        """Removes a member; raises the errors of `add`."""
+        return await self._submit(lambda waiter: self.node.remove(name, waiter), timeout)
 
-    async def transfer(self, name: str, most: float) -> None:
-        """Returns once another leads, or raises."""
+    async def transfer(self, name: str, timeout: float) -> None:
+        """Transfers the leadership to `name` and returns once this replica does not lead any more.
+
+        Raises `NotLeaderError`, `BadChangeError`, `StoreUnavailableError`.
+        """
 
         def work(waiter: _Waiter) -> None:
             self.node.raft.transfer(name)
             waiter.set(0)
 
-        await self._ask(work, most)
-        with anyio.move_on_after(most):
+        await self._submit(work, timeout)
+        with anyio.move_on_after(timeout):
             while self.node.raft.role is Role.LEADER and name != self.identity.replica:
                 await self.wait_for_change(0.1)
             return
-        raise StoreUnavailableError(f"{name} did not take over in {most:g} s")
+        raise StoreUnavailableError(f"{name} did not take over in {timeout:g} s")
 
-    async def snapshot(self, most: float) -> int:
-        """The index of a snapshot that is durable and holds all that was applied when this was asked.
+    async def snapshot(self, timeout: float) -> int:
+        """Returns the index of a durable snapshot that holds everything applied before this call.
 
-        The disk may be at a write then: the snapshot is cut after it. Raises `StoreUnavailableError`.
+        If the disk is writing, the snapshot is taken after that write. Raises `StoreUnavailableError`.
         """
 
         def work(waiter: _Waiter) -> None:
-            if len(self._wanted) >= SNAPSHOTS:
+            if len(self._snapshot_waiters) >= MAX_SNAPSHOT_WAITERS:
                 raise StoreUnavailableError("too many wait for a snapshot")
-            self._wanted.append((self.node.state_machine.applied, waiter))
+            self._snapshot_waiters.append((self.node.state_machine.applied, waiter))
 
-        answer = await self._ask(work, most)
+        answer = await self._submit(work, timeout)
         assert isinstance(answer, int)
         return answer
 
     def change_nowait(self, envelope: Envelope) -> None:
-        """A command that nobody waits for, and that may be lost."""
-        self._put(lambda: self.node.change_nowait(envelope))
+        """Submits a command without waiting for its result; it may be lost."""
+        self._enqueue(lambda: self.node.change_nowait(envelope))
 
-    # The disk
+    # Disk
 
-    def _hand_to_disk(self, work: Callable[[], None], done: Callable[[], None]) -> None:
+    def _start_disk_job(self, work: Callable[[], None], done: Callable[[], None]) -> None:
         self._writing = True
-        self._to_disk.append((work, done))
-        self._disk_some.set()
+        self._disk_jobs.append((work, done))
+        self._disk_job_added.set()
 
-    async def _disk(self) -> None:
-        """Carries out one job after another in a thread; what it came to goes to the owner, ahead of
-        others."""
+    async def _run_disk(self) -> None:
+        """Runs disk jobs in a worker thread; each completion goes to the head of the inbox."""
         while True:
-            if not self._to_disk:
-                self._disk_some = anyio.Event()
-                await self._disk_some.wait()
-            work, done = self._to_disk.popleft()
+            if not self._disk_jobs:
+                self._disk_job_added = anyio.Event()
+                await self._disk_job_added.wait()
+            work, done = self._disk_jobs.popleft()
             try:
                 await run_sync(work)
             except (StorageError, OSError) as error:
                 done = partial(self._disk_failed, f"the disk failed: {error}")
             self._inbox.appendleft(done)
-            self._some.set()
+            self._inbox_filled.set()
 
     def _disk_failed(self, why: str) -> None:
-        """Nothing is written any more, so that nothing may be promised: the replica steps aside."""
+        """Stops the node: without durable writes it may neither vote nor acknowledge entries."""
         self.node.stop(why)
 
     def _write(self, writes: Writes) -> None:
@@ -396,20 +429,24 @@
             self.node.compacted(snapshot)
             self._log.event("store_snapshot", index=snapshot.index, bytes=len(snapshot.data))
 
-        self._hand_to_disk(partial(self._storage.save, snapshot), done)
+        self._start_disk_job(partial(self._storage.save, snapshot), done)
 
-    async def _pin(self, pins: dict[str, str]) -> None:
+    async def _save_pins(self, pins: dict[str, str]) -> None:
         await run_sync(partial(self._storage.pin, pins))
 
-    # What can be seen
+    # State
 
     def may_act(self) -> bool:
+        """Returns whether this instance holds its lease and is not stopped."""
         return self.node.may_act(clock())
 
     def leases(self) -> tuple[frozenset[str], Callable[[int], list[str]]] | None:
-        """While this replica leads and knows whose leases run: who may act now, and a function that tells
-        who of them may still act on something older than an index. None else, and for the first 1.1 leases
-        after an election."""
+        """Returns the instances that may act now, and a function from a log index to those that may still act
+        on a state older than that index.
+
+        None while this replica does not lead, and for the first 1.1 lease durations after an election: until
+        then leases of the previous leader may be running.
+        """
         node = self.node
         grants = node.grants
         if node.stopped or node.raft.role is not Role.LEADER or grants.waits_for(0, clock()):
@@ -417,19 +454,20 @@
         return frozenset(grants.holders(clock())), lambda index: grants.waits_for(index, clock())
 
     def demands(self) -> dict[str, Mapping[str, float]]:
-        """What instances told of their demand lately, by limit; this one's own too while it leads."""
+        """Returns recent demand reports, instance -> limit -> demand; with its own if it leads."""
         now = clock()
-        return {name: rows for name, (at, rows) in self.node.demands.items() if now - at < DEMAND_HOLDS}
+        return {name: rows for name, (at, rows) in self.node.demands.items() if now - at < DEMAND_LIFETIME_S}
 
     def lease_left(self) -> float:
-        """Seconds for which this instance may still act, by its own clock."""
+        """Returns the seconds for which this instance may still act, by its own clock."""
         return self.node.lease.remaining(clock())
 
     def retry_after(self) -> float:
-        """Seconds after which a refused caller may find this instance current."""
-        return STOPPED_COME_BACK if self.node.stopped else self.settings.lease
+        """Returns the seconds after which a refused caller may find this instance current."""
+        return STOPPED_RETRY_S if self.node.stopped else self.settings.lease
 
     def status(self) -> dict[str, Any]:
+        """Returns the `status` answer of the operators' port."""
         node, raft, now = self.node, self.node.raft, clock()
         latest = node.revision
         status: dict[str, Any] = {
@@ -450,12 +488,12 @@
             "lease_left_ms": round(node.lease.remaining(now) * 1000),
             "members": [
                 {
-                    "replica": m.id,
-                    "address": m.address,
-                    "voter": m.voter,
-                    "joining": m.joining,
+                    "replica": member.id,
+                    "address": member.address,
+                    "voter": member.voter,
+                    "joining": member.joining,
                 }
-                for m in raft.membership.members
+                for member in raft.membership.members
             ],
             "absent": [
                 {"replica": row.instance, "address": row.address, "state": row.state, "why": row.why}
@@ -464,13 +502,20 @@
             "peers": self.transport.status(),
         }
         if raft.role is Role.LEADER:
-            status["holders_ms"] = {n: round(t * 1000) for n, t in node.grants.holders(now).items()}
+            status["holders_ms"] = {
+                instance: round(remaining * 1000) for instance, remaining in node.grants.holders(now).items()
+            }
             status["followers"] = {
-                name: {"match": p.match, "mode": p.mode.value, "behind": raft.log.last_index - p.match}
-                for name, p in raft.progress.items()
+                name: {
+                    "match": progress.match,
+                    "mode": progress.mode.value,
+                    "behind": raft.log.last_index - progress.match,
+                }
+                for name, progress in raft.progress.items()
             }
         return status
 
     def leader_address(self) -> str:
+        """Returns the peer address of the known leader; empty if there is none."""
         member = self.node.raft.membership.get(self.node.raft.leader)
         return member.address if member else ""
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -1,7 +1,8 @@
-"""Connections between replicas, and the door for tools. Owns every socket of the store.
+"""Connections between replicas, and the port for tools. Owns every socket of the store.
 
-A replica speaks on connections that it opened and listens on those opened to it. What waits for one peer is
-bounded and dropped when it does not read: consensus takes loss, and a slow peer costs nobody else anything.
+A replica sends on connections that it opened and receives on those that its peers opened. The outbox of each
+peer is bounded, and messages that don't fit are dropped: Raft tolerates loss, and a slow peer must not delay
+the others.
 """
 
 from __future__ import annotations
@@ -23,158 +24,174 @@
 from harepick.store.settings import peer_address
 from harepick.store.wire import CONNECTION_ERRORS, Frames, Hello, Welcome, WireError
 
-CONNECT = 1.0  # seconds to open a connection and be welcomed
-HELLO = 2.0  # seconds that a stranger has for its hello
-STALL = 2.0  # seconds that a peer may leave us unread
-QUIET = 30.0  # seconds without a frame after which a peer's connection is closed
-RETRY, RETRY_MOST = 0.05, 0.5
-MAX_STRANGERS = 64  # connections without a hello so far; the oldest makes room
+CONNECT_TIMEOUT_S = 1.0  # for opening the connection, and again for the handshake
+HELLO_TIMEOUT_S = 2.0  # for the hello on an accepted connection
+SEND_TIMEOUT_S = 2.0  # for one write to a peer that does not read
+IDLE_TIMEOUT_S = 30.0  # a peer's connection is closed after this long without a frame
+MIN_RETRY_S, MAX_RETRY_S = 0.05, 0.5  # delay before connecting again; it doubles after each failure
+MAX_UNIDENTIFIED = 64  # accepted connections before their hello; one more closes the oldest
 MAX_PEERS = 64
 MAX_TOOLS = 64
-OUTBOX = 512  # messages that wait for one peer
+MAX_OUTBOX = 512  # messages queued for one peer
 
-Receive = Callable[[str, PeerMessage], None]
-Serve = Callable[[ByteStream, Frames], Awaitable[None]]
+MessageHandler = Callable[[str, PeerMessage], None]
+ToolHandler = Callable[[ByteStream, Frames], Awaitable[None]]
 
 
-async def open_stream(where: Address) -> ByteStream:
-    """The one place where a stream is opened; encryption goes here."""
-    return await anyio.connect_tcp(where.host, where.port)
+async def open_stream(address: Address) -> ByteStream:
+    """Opens a stream to a replica. Every stream of the store is opened here, so encryption can be added here.
+
+    Raises `OSError`.
+    """
+    return await anyio.connect_tcp(address.host, address.port)
 
 
 class Peer:
-    """The line to one other replica: what it is sent waits here."""
+    """The outgoing connection to another replica, and the messages queued for it."""
 
-    def __init__(self, name: str, where: str) -> None:
-        self.name, self.where = name, where
-        self.outbox: Outbox[PeerMessage] = Outbox(OUTBOX)
+    def __init__(self, name: str, address: str) -> None:
+        self.name, self.address = name, address
+        self.outbox: Outbox[PeerMessage] = Outbox(MAX_OUTBOX)
         self.scope = anyio.CancelScope()
-        self.up = False
+        self.connected = False
         self.error = "not tried"
-        self.since = time.time()
+        self.changed_at = time.time()
 
 
 class Transport:
+    """Sends and receives messages of one replica, and accepts connections of peers and tools."""
+
     def __init__(
         self,
         identity: Identity,
         listen: Address,
         pins: dict[str, str],
-        receive: Receive,
-        pin: Callable[[dict[str, str]], Awaitable[None]],
+        handle_message: MessageHandler,
+        save_pins: Callable[[dict[str, str]], Awaitable[None]],
         counters: Counters,
         log: Log,
     ) -> None:
-        """`pins`: replica -> id of its folder as first met; `pin` makes all of them durable."""
+        """`handle_message` gets the sender's name and each message received.
+
+        `pins` maps each replica to the id of the folder that it had at first contact; `save_pins` makes such
+        a mapping durable.
+        """
         self._identity, self._listen, self._pins = identity, listen, pins
-        self._receive, self._pin = receive, pin
+        self._handle_message, self._save_pins = handle_message, save_pins
         self._counters, self._log = counters, log
         self._peers: dict[str, Peer] = {}
-        self._strangers: list[anyio.CancelScope] = []
-        self._heard: dict[str, anyio.CancelScope] = {}  # the connection that a peer speaks on now
+        self._unidentified: list[anyio.CancelScope] = []
+        self._incoming: dict[str, anyio.CancelScope] = {}  # peer -> its current connection
         self._tools = 0
         self._pinning = anyio.Lock()
         self._tasks: TaskGroup | None = None
-        self._may_speak: Callable[[str], bool] = lambda name: True
+        self._is_member: Callable[[str], bool] = lambda name: True
         self._knows_members = False
-        self.on_rejoin_attempt: Callable[[str], None] = lambda name: None  # known folder, no member
-        self.serve_tool: Serve | None = None
+        self.on_rejoin_attempt: Callable[[str], None] = lambda name: None  # known folder, not a member
+        self.serve_tool: ToolHandler | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        where = self._listen
+        """Listens until cancelled; raises `SettingsError` if the address can't be bound."""
+        address = self._listen
         try:
             listener = await anyio.create_tcp_listener(
-                local_host=where.host, local_port=where.port, backlog=256
+                local_host=address.host, local_port=address.port, backlog=256
             )
         except OSError as error:
-            raise SettingsError(f"setting store.listen: {where}: {error.strerror}") from None
+            raise SettingsError(f"setting store.listen: {address}: {error.strerror}") from None
         async with listener, anyio.create_task_group() as tasks:
             self._tasks = tasks
             tasks.start_soon(listener.serve, self._accept)
             task_status.started()
             await anyio.sleep_forever()
 
-    def members(self, rows: dict[str, str], may_speak: Callable[[str], bool]) -> None:
-        """The members now, name -> address. Lines to others end, also those they opened."""
-        self._may_speak = may_speak
-        self._knows_members = bool(rows)
-        rows = {name: where for name, where in rows.items() if name != self._identity.replica}
-        for name in [n for n, peer in self._peers.items() if rows.get(n) != peer.where]:
+    def set_members(self, addresses: dict[str, str], is_member: Callable[[str], bool]) -> None:
+        """Sets the current members, name -> address; closes the connections to and from other replicas."""
+        self._is_member = is_member
+        self._knows_members = bool(addresses)
+        addresses = {name: address for name, address in addresses.items() if name != self._identity.replica}
+        for name in [known for known, peer in self._peers.items() if addresses.get(known) != peer.address]:
             self._peers.pop(name).scope.cancel()
-        for name in [n for n in self._heard if not may_speak(n)]:
-            self._heard.pop(name).cancel()
+        for name in [known for known in self._incoming if not is_member(known)]:
+            self._incoming.pop(name).cancel()
         assert self._tasks
-        for name, where in rows.items():
-            self._add(name, where)
+        for name, address in addresses.items():
+            self._add_peer(name, address)
 
-    def _add(self, name: str, where: str) -> None:
+    def _add_peer(self, name: str, address: str) -> None:
         assert self._tasks
         if name not in self._peers:
-            peer = self._peers[name] = Peer(name, where)
-            self._tasks.start_soon(self._speak, peer)
+            peer = self._peers[name] = Peer(name, address)
+            self._tasks.start_soon(self._send_loop, peer)
 
     def send(self, to: str, message: PeerMessage) -> None:
-        """Never blocks; what finds no room, or no line, is dropped."""
+        """Queues a message without blocking; drops it if the outbox is full or the peer is not connected."""
         peer = self._peers.get(to)
-        if peer is None or not peer.up or not peer.outbox.put(message):
+        if peer is None or not peer.connected or not peer.outbox.put(message):
             self._counters.add("store.unsent")
 
     def status(self) -> dict[str, dict[str, object]]:
+        """Returns the state of the outgoing connections, peer -> row, as the operators' port shows it."""
         return {
-            p.name: {"address": p.where, "connected": p.up, "error": "" if p.up else p.error}
-            for p in self._peers.values()
+            peer.name: {
+                "address": peer.address,
+                "connected": peer.connected,
+                "error": "" if peer.connected else peer.error,
+            }
+            for peer in self._peers.values()
         }
 
-    # Speaking
+    # Sending
 
-    async def _speak(self, peer: Peer) -> None:
-        wait = RETRY
+    async def _send_loop(self, peer: Peer) -> None:
+        """Keeps a connection to `peer` open, with exponential delays between attempts."""
+        delay = MIN_RETRY_S
         with peer.scope:
             while True:
                 try:
-                    await self._speak_once(peer)
-                    wait = RETRY
+                    await self._send_over_one_connection(peer)
+                    delay = MIN_RETRY_S
                 except CONNECTION_ERRORS as error:
                     text = f"{type(error).__name__}: {error}"
-                    if peer.up or text != peer.error:
+                    if peer.connected or text != peer.error:
                         self._log.event("store_peer_lost", peer=peer.name, error=text)
-                    if peer.up:
-                        wait = RETRY
-                    peer.up, peer.error, peer.since = False, text, time.time()
+                    if peer.connected:
+                        delay = MIN_RETRY_S
+                    peer.connected, peer.error, peer.changed_at = False, text, time.time()
                 peer.outbox.clear()
-                await anyio.sleep(wait)
-                wait = min(RETRY_MOST, wait * 2)
+                await anyio.sleep(delay)
+                delay = min(MAX_RETRY_S, delay * 2)
 
-    async def _speak_once(self, peer: Peer) -> None:
-        with anyio.fail_after(CONNECT):
-            stream = await open_stream(parse_address(peer.where, "store.member.address"))
+    async def _send_over_one_connection(self, peer: Peer) -> None:
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
+            stream = await open_stream(parse_address(peer.address, "store.member.address"))
         async with stream:
-            me = self._identity
+            identity = self._identity
             frames = Frames(stream)
-            with anyio.fail_after(CONNECT):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 await stream.send(wire.frame(self._hello()))
                 welcome = wire.welcomes.read(await frames.next())
             if welcome.error:
                 raise WireError(f"turned away: {welcome.error}")
-            if (welcome.cluster, welcome.replica) != (me.cluster, peer.name):
-                raise WireError(f"{peer.where} is {welcome.cluster}/{welcome.replica}, not {peer.name}")
-            if why := await self._known(peer.name, welcome.folder):
-                raise WireError(why)
-            peer.up, peer.error, peer.since = True, "", time.time()
+            if (welcome.cluster, welcome.replica) != (identity.cluster, peer.name):
+                raise WireError(f"{peer.address} is {welcome.cluster}/{welcome.replica}, not {peer.name}")
+            if mismatch := await self._folder_mismatch(peer.name, welcome.folder):
+                raise WireError(mismatch)
+            peer.connected, peer.error, peer.changed_at = True, "", time.time()
             self._log.event("store_peer", peer=peer.name)
             while True:
                 await peer.outbox.wait()
                 for part in self._packed(peer.outbox.clear()):
-                    with anyio.fail_after(STALL):
+                    with anyio.fail_after(SEND_TIMEOUT_S):
                         await stream.send(part)
 
     def _hello(self) -> Hello:
-        me = self._identity
-        return Hello("peer", me.cluster, me.replica, me.folder, address=str(self._listen))
+        identity = self._identity
+        return Hello("peer", identity.cluster, identity.replica, identity.folder, address=str(self._listen))
 
     def _packed(self, messages: list[PeerMessage]) -> list[bytes]:
-        """Frames, many in one write, none in a write of over `MAX_FRAME`."""
-        parts, size = [bytearray()], 0
+        """Packs messages into as few writes as possible, each of at most `MAX_FRAME` bytes."""
+        chunks, size = [bytearray()], 0
         for message in messages:
             try:
                 data = wire.frame(message)
@@ -182,18 +199,22 @@
                 self._counters.add("store.too_large")
                 continue
             if size and size + len(data) > wire.MAX_FRAME:
-                parts.append(bytearray())
+                chunks.append(bytearray())
                 size = 0
-            parts[-1] += data
+            chunks[-1] += data
             size += len(data)
-        return [bytes(part) for part in parts if part]
+        return [bytes(chunk) for chunk in chunks if chunk]
 
-    async def _known(self, name: str, folder: str) -> str:
-        """Why that folder is not this replica's; empty if it is. A first meeting pins it, durably."""
+    async def _folder_mismatch(self, name: str, folder: str) -> str:
+        """Returns why `folder` is not the one of replica `name`; empty if it is.
+
+        At first contact the folder is pinned durably. A wiped replica has lost its votes, so one with another
+        folder is refused.
+        """
         async with self._pinning:
             pinned = self._pins.get(name)
             if pinned is None:
-                await self._pin({**self._pins, name: folder})
+                await self._save_pins({**self._pins, name: folder})
                 self._pins[name] = folder
                 return ""
         if pinned == folder:
@@ -203,82 +224,85 @@
             "remove it, and add it under a new name"
         )
 
-    # Listening
+    # Receiving
 
     async def _accept(self, stream: ByteStream) -> None:
         scope = anyio.CancelScope()
-        self._strangers.append(scope)
-        if len(self._strangers) > MAX_STRANGERS:
+        self._unidentified.append(scope)
+        if len(self._unidentified) > MAX_UNIDENTIFIED:
             self._counters.add("store.strangers_dropped")
-            self._strangers[0].cancel()
+            self._unidentified[0].cancel()
         with scope:
             async with stream:
                 try:
-                    await self._hear(stream, scope)
+                    await self._serve_connection(stream, scope)
                 except WireError as error:
                     self._counters.add("store.malformed")
                     self._log.event("store_malformed", error=str(error))
                 except CONNECTION_ERRORS:
                     self._counters.add("store.connections_lost")
                 finally:
-                    if scope in self._strangers:
-                        self._strangers.remove(scope)
+                    if scope in self._unidentified:
+                        self._unidentified.remove(scope)
 
-    async def _hear(self, stream: ByteStream, scope: anyio.CancelScope) -> None:
+    async def _serve_connection(self, stream: ByteStream, scope: anyio.CancelScope) -> None:
         frames = Frames(stream)
-        with anyio.fail_after(HELLO):
+        with anyio.fail_after(HELLO_TIMEOUT_S):
             hello = wire.hellos.read(await frames.next())
-            why = await self._unwelcome(hello)
-            me = self._identity
-            await stream.send(wire.frame(Welcome(me.cluster, me.replica, me.folder, why)))
-        if why:
+            reason = await self._rejection_reason(hello)
+            identity = self._identity
+            await stream.send(
+                wire.frame(Welcome(identity.cluster, identity.replica, identity.folder, reason))
+            )
+        if reason:
             self._counters.add("store.turned_away")
-            self._log.event("store_turned_away", replica=hello.replica, error=why)
+            self._log.event("store_turned_away", replica=hello.replica, error=reason)
             return
-        self._strangers.remove(scope)
-        frames.most = wire.MAX_FRAME
+        self._unidentified.remove(scope)
+        frames.max_size = wire.MAX_FRAME
         if hello.role == "tool":
-            with suppress(anyio.EndOfStream, anyio.BrokenResourceError):  # a tool may go when it likes
-                await self._hear_tool(stream, frames)
+            with suppress(anyio.EndOfStream, anyio.BrokenResourceError):  # a tool may leave at any time
+                await self._serve_tool(stream, frames)
             return
-        if not self._knows_members:  # it adds us: answer where it listens, until the log tells the members
+        if not self._knows_members:  # being added: connect back to this peer until the log names the members
             with suppress(SettingsError):
-                self._add(hello.replica, str(peer_address(hello.address, "address")))
-        if old := self._heard.pop(hello.replica, None):
-            old.cancel()  # it opened a new one: the old one is dead, or soon will be
-        self._heard[hello.replica] = scope
+                self._add_peer(hello.replica, str(peer_address(hello.address, "address")))
+        if previous := self._incoming.pop(hello.replica, None):
+            previous.cancel()  # the peer opened a new connection: the previous one is stale
+        self._incoming[hello.replica] = scope
         try:
             while True:
                 while (data := frames.ready()) is not None:
                     self._counters.add("store.heard")
-                    self._receive(hello.replica, wire.peer_message(data))
-                with anyio.fail_after(QUIET):
+                    self._handle_message(hello.replica, wire.decode_peer_message(data))
+                with anyio.fail_after(IDLE_TIMEOUT_S):
                     await frames.fill()
         finally:
-            if self._heard.get(hello.replica) is scope:
-                del self._heard[hello.replica]
+            if self._incoming.get(hello.replica) is scope:
+                del self._incoming[hello.replica]
 
-    async def _unwelcome(self, hello: Hello) -> str:
-        me = self._identity
+    async def _rejection_reason(self, hello: Hello) -> str:
+        """Returns why a connection is refused; empty if it is accepted."""
+        identity = self._identity
         if hello.version != wire.VERSION:
             return f"version {hello.version}; this replica speaks {wire.VERSION}"
-        if hello.cluster != me.cluster:
-            return f"cluster {hello.cluster!r}; this is {me.cluster!r}"
+        if hello.cluster != identity.cluster:
+            return f"cluster {hello.cluster!r}; this is {identity.cluster!r}"
         if hello.role == "tool":
             return "too many tools" if self._tools >= MAX_TOOLS else ""
         if hello.role != "peer":
             return f"unknown role {hello.role!r}"
-        if hello.replica == me.replica:
+        if hello.replica == identity.replica:
             return f"replica {hello.replica!r} is this one"
-        if not self._may_speak(hello.replica):
+        if not self._is_member(hello.replica):
             if self._pins.get(hello.replica) == hello.folder:
                 self.on_rejoin_attempt(hello.replica)
             return f"replica {hello.replica!r} is no member"
-        if len(self._heard) >= MAX_PEERS:
+        if len(self._incoming) >= MAX_PEERS:
             return "too many peers"
-        return await self._known(hello.replica, hello.folder)
+        return await self._folder_mismatch(hello.replica, hello.folder)
 
-    async def _hear_tool(self, stream: ByteStream, frames: Frames) -> None:
+    async def _serve_tool(self, stream: ByteStream, frames: Frames) -> None:
         if self.serve_tool is None:
             return
         self._tools += 1
--- a/harepick/store/wire.py
+++ b/harepick/store/wire.py
@@ -1,6 +1,6 @@
-"""Frames between replicas, and between tools and replicas: a length, then one MessagePack value.
+"""Framing of the peer port and the operators' port: a 4-byte length, then one MessagePack value.
 
-`docs/protocol/operators.md` is the page for those who write a client.
+`docs/protocol/operators.md` describes the protocol for authors of clients.
 """
 
 from __future__ import annotations
@@ -17,30 +17,30 @@
 
 VERSION = 1
 LENGTH = struct.Struct(">I")
-MAX_HELLO = 4 * 1024
-MAX_FRAME = 4 * 1024 * 1024
-READ = 256 * 1024
+MAX_HELLO = 4 * 1024  # bytes
+MAX_FRAME = 4 * 1024 * 1024  # bytes
+READ_SIZE = 256 * 1024  # bytes
 
 Value = TypeVar("Value")
 
 
 class WireError(Exception):
-    """Bytes that make no sense here; the connection goes."""
+    """A malformed, oversized or unexpected frame; the connection is closed."""
 
 
 class Hello(Struct, frozen=True):
-    """The first frame in each direction."""
+    """The first frame on a connection, from the side that opened it."""
 
-    role: str  # peer, or tool
+    role: str  # "peer" or "tool"
     cluster: str
-    replica: str = ""  # of the sender, or of who answers
-    folder: str = ""
+    replica: str = ""  # name of the sender, if it is a peer
+    folder: str = ""  # id of the sender's folder
     version: int = VERSION
-    address: str = ""  # where a peer listens: one that joins knows no other
+    address: str = ""  # where a peer listens; a joining replica does not know it from the log yet
 
 
 class Welcome(Struct, frozen=True):
-    """The answer to a hello; `error` is empty if the connection stands."""
+    """The answer to a hello; `error` is empty if the connection is accepted."""
 
     cluster: str
     replica: str
@@ -50,7 +50,7 @@
 
 
 class Request(Struct, frozen=True):
-    """What a tool asks; `arguments` by name, as the page says."""
+    """A tool's request; the protocol page lists the methods and their arguments."""
 
     id: int
     method: str
@@ -58,7 +58,10 @@
 
 
 class Response(Struct, frozen=True):
-    """One answer, or one of many to a watch. `error` is a code of the page; `leader` an address to ask."""
+    """The answer to a request, or one of many answers to a watch.
+
+    `error` is a code of the protocol page; `leader` is the address of the replica to ask instead.
+    """
 
     id: int
     result: Any = None
@@ -73,27 +76,31 @@
 
 
 def frame(value: object) -> bytes:
+    """Encodes a value as one frame; raises `WireError` if it is over `MAX_FRAME`."""
     data = _encoder.encode(value)
     if len(data) > MAX_FRAME:
-        raise WireError(f"a frame of {len(data)} bytes; {MAX_FRAME} at most")
+        raise WireError(f"frame of {len(data)} bytes exceeds the limit of {MAX_FRAME}")
     return LENGTH.pack(len(data)) + data
 
 
 class Frames:
-    """Cuts a byte stream into frames; holds one frame and a read at most."""
+    """Splits a byte stream into frames; buffers at most one frame and one read.
+
+    `max_size` bounds the next frame, in bytes: that of a hello until the handshake is done.
+    """
 
     def __init__(self, stream: ByteStream) -> None:
         self._stream = stream
         self._buffer = bytearray()
-        self.most = MAX_HELLO
+        self.max_size = MAX_HELLO
 
     def ready(self) -> bytes | None:
-        """A frame that is here already; raises `WireError` for one too large."""
+        """Returns a completely buffered frame, or None; raises `WireError` for one that is too large."""
         if len(self._buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self._buffer)
-        if length > self.most:
-            raise WireError(f"a frame of {length} bytes; {self.most} at most")
+        if length > self.max_size:
+            raise WireError(f"frame of {length} bytes exceeds the limit of {self.max_size}")
         if len(self._buffer) < LENGTH.size + length:
             return None
         data = bytes(memoryview(self._buffer)[LENGTH.size : LENGTH.size + length])
@@ -101,17 +108,18 @@
         return data
 
     async def fill(self) -> None:
-        """Waits for more; raises `anyio.EndOfStream` at the end."""
-        self._buffer += await self._stream.receive(READ)
+        """Reads more bytes; raises `anyio.EndOfStream` at the end of the stream."""
+        self._buffer += await self._stream.receive(READ_SIZE)
 
     async def next(self) -> bytes:
+        """Waits for the next frame; raises as `ready` and `fill` do."""
         while (data := self.ready()) is None:
             await self.fill()
         return data
 
 
-class Typed(Generic[Value]):
-    """A decoder whose errors are this module's."""
+class TypedDecoder(Generic[Value]):
+    """A MessagePack decoder of one type that raises `WireError`."""
 
     def __init__(self, kind: type[Value]) -> None:
         self._decoder = msgspec.msgpack.Decoder(kind)
@@ -120,20 +128,21 @@
         try:
             return self._decoder.decode(data)
         except (msgspec.DecodeError, ValueError) as error:
-            raise WireError(f"a frame that can't be read: {error}") from None
+            raise WireError(f"undecodable frame: {error}") from None
 
 
-hellos: Typed[Hello] = Typed(Hello)
-welcomes: Typed[Welcome] = Typed(Welcome)
-requests: Typed[Request] = Typed(Request)
-responses: Typed[Response] = Typed(Response)
+hellos: TypedDecoder[Hello] = TypedDecoder(Hello)
+welcomes: TypedDecoder[Welcome] = TypedDecoder(Welcome)
+requests: TypedDecoder[Request] = TypedDecoder(Request)
+responses: TypedDecoder[Response] = TypedDecoder(Response)
 
 
-def peer_message(data: bytes) -> PeerMessage:
+def decode_peer_message(data: bytes) -> PeerMessage:
+    """Decodes a message between replicas; raises `WireError`."""
     try:
         return peer_decoder.decode(data)
     except (msgspec.DecodeError, ValueError) as error:
-        raise WireError(f"a message that can't be read: {error}") from None
+        raise WireError(f"undecodable message: {error}") from None
 
 
 CONNECTION_ERRORS = (
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -278,7 +278,7 @@
 @EXAMPLES
 @given(st.binary(max_size=80))
 def test_bytes_of_no_sense_are_an_error_of_the_wire_alone(data: bytes) -> None:
-    for reader in (wire.hellos.read, wire.requests.read, wire.responses.read, wire.peer_message):
+    for reader in (wire.hellos.read, wire.requests.read, wire.responses.read, wire.decode_peer_message):
         with suppress(wire.WireError):
             reader(data)
 
--- a/tests/test_store_replica.py
+++ b/tests/test_store_replica.py
@@ -1,4 +1,4 @@
-"""The host of one replica on a real folder, with a disk that the test holds up."""
+"""One replica on a real folder, with a disk that the test blocks or fails."""
 
 from __future__ import annotations
 
@@ -21,119 +21,125 @@
 from harepick.store.wire import Hello
 
 
-def replica(folder: Path) -> Replica:
+def open_replica(folder: Path) -> Replica:
     listen = f"127.0.0.1:{free_port()}"
     settings = read_store({"store": {"folder": str(folder), "listen": listen}})
     assert settings is not None
-    made = Replica(settings, Counters(), Log())
-    made.open()
-    return made
+    replica = Replica(settings, Counters(), Log())
+    replica.open()
+    return replica
 
 
-async def change(made: Replica, number: int) -> None:
-    await made.change(Envelope("s", number, Put(f"text {number}")), 10.0)
+async def put_revision(replica: Replica, number: int) -> None:
+    await replica.change(Envelope("s", number, Put(f"text {number}")), 10.0)
 
 
-async def until(what: Any) -> None:
+async def wait_until(condition: Any) -> None:
     with anyio.fail_after(10):
-        while not what():
+        while not condition():
             await anyio.sleep(0.005)
 
 
-def test_a_snapshot_that_is_asked_for_during_a_write_holds_what_was_applied_then(
+def test_a_snapshot_requested_during_a_write_holds_everything_applied_before(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Asked for at such a moment, an older snapshot's index was told as if this one had been made."""
+    """A request during a write must not be answered with the index of an older snapshot."""
 
-    async def work() -> None:
-        made = replica(tmp_path)
-        held, go_on = threading.Event(), threading.Event()
-        write = made._storage.write
+    async def scenario() -> None:
+        replica = open_replica(tmp_path)
+        write_started, write_released = threading.Event(), threading.Event()
+        write = replica._storage.write
 
-        def slow(*what: Any) -> None:
-            held.set()
-            assert go_on.wait(10)
-            write(*what)
+        def blocked_write(*arguments: Any) -> None:
+            write_started.set()
+            assert write_released.wait(10)
+            write(*arguments)
 
         async with anyio.create_task_group() as tasks:
-            await tasks.start(made.run)
-            await until(made.may_act)
-            await change(made, 1)
-            applied = made.node.state_machine.applied
-            monkeypatch.setattr(made._storage, "write", slow)
-            tasks.start_soon(change, made, 2)
-            await until(held.is_set)
-            told: list[int] = []
-
-            async def ask() -> None:
-                told.append(await made.snapshot(10.0))
-
-            tasks.start_soon(ask)
-            await until(lambda: made._wanted)
-            assert not told
-            go_on.set()
-            await until(lambda: told)
-            assert told[0] >= applied
-            assert (tmp_path / f"snap-{told[0]}").exists()
+            await tasks.start(replica.run)
+            await wait_until(replica.may_act)
+            await put_revision(replica, 1)
+            applied = replica.node.state_machine.applied
+            monkeypatch.setattr(replica._storage, "write", blocked_write)
+            tasks.start_soon(put_revision, replica, 2)
+            await wait_until(write_started.is_set)
+            snapshots: list[int] = []
+
+            async def request_snapshot() -> None:
+                snapshots.append(await replica.snapshot(10.0))
+
+            tasks.start_soon(request_snapshot)
+            await wait_until(lambda: replica._snapshot_waiters)
+            assert not snapshots
+            write_released.set()
+            await wait_until(lambda: snapshots)
+            assert snapshots[0] >= applied
+            assert (tmp_path / f"snap-{snapshots[0]}").exists()
             tasks.cancel_scope.cancel()
 
-    anyio.run(work)
+    anyio.run(scenario)
 
 
-def test_who_waits_for_a_snapshot_hears_when_the_disk_fails(
+def test_a_snapshot_request_fails_when_the_disk_fails(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def work() -> None:
-        made = replica(tmp_path)
+    """Waiting requests must get an error when the replica stops, rather than run into their timeout."""
 
-        def full(*what: Any) -> None:
+    async def scenario() -> None:
+        replica = open_replica(tmp_path)
+
+        def fail_with_full_disk(*arguments: Any) -> None:
             raise OSError("no space left")
 
         async with anyio.create_task_group() as tasks:
-            await tasks.start(made.run)
-            await until(made.may_act)
-            await change(made, 1)
-            monkeypatch.setattr(made._storage, "save", full)
+            await tasks.start(replica.run)
+            await wait_until(replica.may_act)
+            await put_revision(replica, 1)
+            monkeypatch.setattr(replica._storage, "save", fail_with_full_disk)
             with pytest.raises(StoreUnavailableError, match="stepped aside"):
-                await made.snapshot(10.0)
+                await replica.snapshot(10.0)
             tasks.cancel_scope.cancel()
 
-    anyio.run(work)
+    anyio.run(scenario)
 
 
-def test_only_who_comes_back_with_the_folder_that_was_pinned_is_heard_to_knock(tmp_path: Path) -> None:
-    """A wiped folder under an old name has forgotten its votes: it is not taken back."""
+def test_a_rejoin_attempt_counts_only_with_the_pinned_folder(tmp_path: Path) -> None:
+    """A wiped replica has lost its votes, so one with another folder must not be taken back by its name."""
 
-    async def work() -> None:
-        made = replica(tmp_path)
-        line, me = made.transport, made.identity
-        line._pins["c"] = "its folder"
-        line._may_speak = lambda name: False  # as after it was dropped
+    async def scenario() -> None:
+        replica = open_replica(tmp_path)
+        transport, identity = replica.transport, replica.identity
+        transport._pins["c"] = "its folder"
+        transport._is_member = lambda name: False  # "c" has been dropped
         for name, folder in (("c", "another folder"), ("d", "its folder")):
-            told = await line._unwelcome(Hello("peer", me.cluster, name, folder))
-            assert "no member" in told and not made.rejoin_attempts
-        assert "no member" in await line._unwelcome(Hello("peer", me.cluster, "c", "its folder"))
-        assert made.rejoin_attempts.keys() == {"c"}
+            reason = await transport._rejection_reason(Hello("peer", identity.cluster, name, folder))
+            assert "no member" in reason and not replica.rejoin_attempts
+        assert "no member" in await transport._rejection_reason(
+            Hello("peer", identity.cluster, "c", "its folder")
+        )
+        assert replica.rejoin_attempts.keys() == {"c"}
+
+    anyio.run(scenario)
 
-    anyio.run(work)
 
+def test_remove_takes_a_dropped_member_off_the_absence_list(tmp_path: Path) -> None:
+    """A member on the absence list is added again when it returns, unless an operator has removed it."""
 
-def test_one_that_the_fleet_dropped_is_taken_off_for_good_by_remove(tmp_path: Path) -> None:
-    async def work() -> None:
-        made = replica(tmp_path)
-        desk = OperatorApi(made, Counters())
+    async def scenario() -> None:
+        replica = open_replica(tmp_path)
+        api = OperatorApi(replica, Counters())
         async with anyio.create_task_group() as tasks:
-            await tasks.start(made.run)
-            await until(made.may_act)
+            await tasks.start(replica.run)
+            await wait_until(replica.may_act)
             for state, version in ((LEAVING, 0), (DROPPED, 1)):
-                await made.change(
+                await replica.change(
                     Envelope("", 0, SetMemberState("c", state, version, address="127.0.0.1:1")), 5.0
                 )
-            assert made.status()["absent"][0]["replica"] == "c"
-            assert (await desk.remove({"replica": "c"}, 5.0))["index"] > 0
-            assert not made.status()["absent"]
+            assert replica.status()["absent"][0]["replica"] == "c"
+            assert (await api.remove({"replica": "c"}, 5.0))["index"] > 0
+            assert not replica.status()["absent"]
             with pytest.raises(BadChangeError, match="is no member"):
-                await desk.remove({"replica": "c"}, 5.0)
+                await api.remove({"replica": "c"}, 5.0)
             tasks.cancel_scope.cancel()
 
-    anyio.run(work)
+    anyio.run(scenario)
