--- a/harepick/store/disk/__init__.py
+++ b/harepick/store/disk/__init__.py
@@ -1,2 +1,4 @@
-"""Durable storage of one replica: an append-only log in segments, snapshots, identity. Blocking; runs in a
-thread."""
+"""Durable storage of one replica: a segmented append-only log, snapshots and the identity.
+
+All calls block, so they run in a worker thread.
+"""
--- a/harepick/store/disk/files.py
+++ b/harepick/store/disk/files.py
@@ -1,4 +1,4 @@
-"""The few things that the storage asks of a file system, so that tests can stand in a faulty one."""
+"""The file system operations that the storage needs, as an interface that tests implement with faults."""
 
 from __future__ import annotations
 
@@ -9,50 +9,56 @@
 
 
 class StorageError(Exception):
-    """The folder can't be used as it is; the text names file and place."""
+    """The folder can't be used as it is; the text names the file and the offset."""
 
 
 class LockedError(StorageError):
-    """Another process works in this folder."""
+    """Another process uses the folder."""
 
 
 class Handle(Protocol):
-    """An open file that grows at its end."""
+    """A file that is open for appending. Every method may raise `OSError`."""
 
     def write(self, data: bytes) -> None:
-        """All of it, or `OSError`."""
+        """Appends all of `data`, or raises `OSError`."""
 
-    def sync(self) -> None: ...
+    def sync(self) -> None:
+        """Makes everything written so far durable."""
 
     def close(self) -> None: ...
 
 
 class Files(Protocol):
-    """One folder. Every method may raise `OSError`."""
+    """The files of one folder. Every method may raise `OSError`."""
 
-    def names(self) -> list[str]: ...
+    def names(self) -> list[str]:
+        """Returns the names of the files; none if the folder does not exist."""
 
     def read(self, name: str) -> bytes: ...
 
     def append(self, name: str) -> Handle:
-        """Opens for writing at the end; makes the file if it is not there."""
+        """Opens a file for appending; creates it if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts to `size` bytes, durably."""
+        """Cuts a file to `size` bytes, durably."""
 
     def rename(self, old: str, new: str) -> None: ...
 
     def remove(self, name: str) -> None: ...
 
-    def sync_folder(self) -> None: ...
+    def sync_folder(self) -> None:
+        """Makes created, renamed and removed names durable."""
 
     def lock(self) -> None:
-        """For this process alone, until it ends; raises `LockedError`."""
+        """Locks the folder until `close` or the end of the process; raises `LockedError`."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Releases the lock."""
 
 
 class _OsHandle:
+    """A `Handle` on a file descriptor."""
+
     def __init__(self, path: Path) -> None:
         self._fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
@@ -69,7 +75,7 @@
 
 
 class OsFiles:
-    """A folder of the real file system."""
+    """`Files` on a folder of the operating system."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
@@ -79,7 +85,7 @@
         return str(self.folder)
 
     def names(self) -> list[str]:
-        return sorted(p.name for p in self.folder.iterdir()) if self.folder.exists() else []
+        return sorted(path.name for path in self.folder.iterdir()) if self.folder.exists() else []
 
     def read(self, name: str) -> bytes:
         return (self.folder / name).read_bytes()
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -1,5 +1,4 @@
-"""The durable log and its snapshots under crashes at every operation, torn writes, flipped bits and full
-disks."""
+"""The durable log and its snapshots under crashes, torn writes, flipped bits and full disks."""
 
 from __future__ import annotations
 
@@ -21,161 +20,171 @@
 IDENTITY = Identity("lpo", "a", "f0")
 
 
-def folder(seed: int = 0) -> FaultyFiles:
+def new_folder(seed: int = 0) -> FaultyFiles:
     files = FaultyFiles(Random(seed))
     create(files, IDENTITY, MEMBERS)
     return files
 
 
-def entries(first: int, last: int, term: int) -> tuple[Entry, ...]:
-    return tuple(Entry(n, term, Kind.COMMAND, b"%d of %d" % (n, term)) for n in range(first, last + 1))
+def make_entries(first: int, last: int, term: int) -> tuple[Entry, ...]:
+    return tuple(
+        Entry(index, term, Kind.COMMAND, b"%d of %d" % (index, term)) for index in range(first, last + 1)
+    )
 
 
-class Promised:
-    """What a run of writes was told is durable, and what was under way."""
+class ExpectedState:
+    """What has to be on the disk: the acknowledged writes, or those and the write in progress."""
 
     def __init__(self) -> None:
-        self.hard, self.log, self.base = HardState(), [], 0  # type: ignore[var-annotated]
-        self.base_term = 0
+        self.hard, self.log, self.snapshot_index = HardState(), [], 0  # type: ignore[var-annotated]
+        self.snapshot_term = 0
 
-    def take(self, hard: HardState | None, new: tuple[Entry, ...]) -> None:
+    def append(self, hard: HardState | None, new: tuple[Entry, ...]) -> None:
         self.hard = hard or self.hard
         if new:
             self.log = [e for e in self.log if e.index < new[0].index] + list(new)
 
-    def copy(self) -> Promised:
-        other = Promised()
-        other.hard, other.log, other.base, other.base_term = (
+    def copy(self) -> ExpectedState:
+        duplicate = ExpectedState()
+        duplicate.hard, duplicate.log, duplicate.snapshot_index, duplicate.snapshot_term = (
             self.hard,
             list(self.log),
-            self.base,
-            self.base_term,
+            self.snapshot_index,
+            self.snapshot_term,
         )
-        return other
+        return duplicate
 
 
-def script(storage: Storage, promised: Promised, under_way: list[Promised]) -> None:
-    """Appends, a conflict, own snapshots, new segments, and a snapshot of a leader's in place of the log."""
+def write_script(storage: Storage, expected: ExpectedState, in_progress: list[ExpectedState]) -> None:
+    """Writes entries, a conflict, an own snapshot, new segments, and a leader's snapshot in place of the log.
+
+    `in_progress` holds the states that a crash at this moment may leave besides `expected`.
+    """
 
     def write(hard: HardState | None, new: tuple[Entry, ...]) -> None:
-        after = promised.copy()
-        after.take(hard, new)
-        under_way[:] = [after]
+        after = expected.copy()
+        after.append(hard, new)
+        in_progress[:] = [after]
         storage.write(hard, new, None)
-        promised.take(hard, new)
-        under_way.clear()
+        expected.append(hard, new)
+        in_progress.clear()
 
-    write(HardState(1, "a"), entries(1, 3, 1))
-    write(None, entries(4, 9, 1))
+    write(HardState(1, "a"), make_entries(1, 3, 1))
+    write(None, make_entries(4, 9, 1))
     write(HardState(2, ""), ())
-    write(None, entries(6, 12, 2))  # a later leader's, in place of 6 to 9
-    under_way[:] = [promised.copy()]
-    under_way[0].base, under_way[0].base_term = 8, 2
+    write(None, make_entries(6, 12, 2))  # from a later leader; replaces 6 to 9
+    in_progress[:] = [expected.copy()]
+    in_progress[0].snapshot_index, in_progress[0].snapshot_term = 8, 2
     storage.save(Snapshot(8, 2, MEMBERS, b"state" * 50))
-    promised.base, promised.base_term = 8, 2
-    under_way.clear()
-    for n in range(13, 30, 3):
-        write(None, entries(n, n + 2, 2))
-    after = promised.copy()
-    after.base, after.base_term, after.log, after.hard = 40, 3, [], HardState(3, "")
-    half = after.copy()
-    half.hard = promised.hard
-    under_way[:] = [after, half]
+    expected.snapshot_index, expected.snapshot_term = 8, 2
+    in_progress.clear()
+    for first in range(13, 30, 3):
+        write(None, make_entries(first, first + 2, 2))
+    after = expected.copy()
+    after.snapshot_index, after.snapshot_term, after.log, after.hard = 40, 3, [], HardState(3, "")
+    without_hard_state = after.copy()
+    without_hard_state.hard = expected.hard
+    in_progress[:] = [after, without_hard_state]
     storage.write(HardState(3, ""), (), Snapshot(40, 3, MEMBERS, b"theirs" * 50))
-    promised.base, promised.base_term, promised.log, promised.hard = 40, 3, [], HardState(3, "")
-    under_way.clear()
-    write(None, entries(41, 44, 3))
-    write(HardState(4, "b"), entries(45, 46, 3))
+    expected.snapshot_index, expected.snapshot_term, expected.log, expected.hard = 40, 3, [], HardState(3, "")
+    in_progress.clear()
+    write(None, make_entries(41, 44, 3))
+    write(HardState(4, "b"), make_entries(45, 46, 3))
 
 
-def check(files: FaultyFiles, candidates: list[Promised]) -> None:
+def check_recovery(files: FaultyFiles, allowed_states: list[ExpectedState]) -> None:
+    """Checks that the storage reads one of the allowed states, and that it can go on writing."""
     storage = Storage(files, segment_bytes=300)
     found = storage.open()
-    for promised in candidates:
-        want = [e for e in promised.log if e.index > promised.base]
+    for expected in allowed_states:
+        expected_entries = [e for e in expected.log if e.index > expected.snapshot_index]
         if (
-            found.hard == promised.hard
-            and (found.snapshot.index, found.snapshot.term) == (promised.base, promised.base_term)
-            and found.entries == want
+            found.hard == expected.hard
+            and (found.snapshot.index, found.snapshot.term)
+            == (expected.snapshot_index, expected.snapshot_term)
+            and found.entries == expected_entries
         ):
             break
     else:
-        raise AssertionError(f"{found} is none of what was promised")
-    # And it goes on from there.
+        raise AssertionError(f"{found} is none of the allowed states")
+    # Writing continues from that state.
     last = found.entries[-1].index if found.entries else found.snapshot.index
-    storage.write(HardState(9, "z"), entries(last + 1, last + 2, 9), None)
+    storage.write(HardState(9, "z"), make_entries(last + 1, last + 2, 9), None)
     storage.close()
     again = Storage(files, segment_bytes=300)
     assert again.open().entries[-1].index == last + 2
     again.close()
 
 
-def operations() -> int:
-    files = folder()
+def count_operations() -> int:
+    """Returns the number of file operations of `write_script`."""
+    files = new_folder()
     storage = Storage(files, segment_bytes=300)
     storage.open()
     before = files.operations
-    script(storage, Promised(), [])
+    write_script(storage, ExpectedState(), [])
     return files.operations - before
 
 
-@pytest.mark.parametrize("power", [True, False])
-def test_a_crash_at_every_operation_keeps_what_was_promised(power: bool) -> None:
-    for at in range(1, operations() + 1):
-        for seed in range(12 if power else 1):
-            files = folder(seed)
+@pytest.mark.parametrize("power_failure", [True, False])
+def test_a_crash_at_any_operation_keeps_acknowledged_writes(power_failure: bool) -> None:
+    """Guards against losing an acknowledged vote or entry; a power failure also drops unsynced data."""
+    for crash_offset in range(1, count_operations() + 1):
+        for seed in range(12 if power_failure else 1):
+            files = new_folder(seed)
             storage = Storage(files, segment_bytes=300)
             storage.open()
-            files.crash_at = files.operations + at
-            promised, under_way = Promised(), []  # type: ignore[var-annotated]
+            files.crash_at = files.operations + crash_offset
+            expected, in_progress = ExpectedState(), []  # type: ignore[var-annotated]
             with pytest.raises(Crash):
-                script(storage, promised, under_way)
-            if power:
+                write_script(storage, expected, in_progress)
+            if power_failure:
                 files.power_fails()
             else:
                 files.process_dies()
-            # A crash in the start itself, and then a whole one.
+            # A crash during the start, followed by a complete start.
             if seed % 3 == 0:
-                files.crash_at = files.operations + Random(at).randint(1, 8)
+                files.crash_at = files.operations + Random(crash_offset).randint(1, 8)
                 with contextlib.suppress(Crash):
                     Storage(files, segment_bytes=300).open()
                 files.crash_at = None
                 files.power_fails()
-            check(files, [promised, *under_way])
+            check_recovery(files, [expected, *in_progress])
 
 
-def test_a_disk_that_lies_about_syncing_is_found_by_these_checks() -> None:
-    found = 0
+def test_a_disk_that_ignores_syncs_is_detected() -> None:
+    """Shows that `check_recovery` can fail: a sync that does nothing is noticed after a power failure."""
+    detected = 0
     for seed in range(40):
-        files = folder(seed)
+        files = new_folder(seed)
         storage = Storage(files, segment_bytes=300)
         storage.open()
         files.lying_sync = True
-        promised: Promised = Promised()
-        script(storage, promised, [])
+        expected: ExpectedState = ExpectedState()
+        write_script(storage, expected, [])
         files.power_fails()
         try:
-            check(files, [promised])
+            check_recovery(files, [expected])
         except (AssertionError, StorageError):
-            found += 1
-    assert found > 20
+            detected += 1
+    assert detected > 20
 
 
-def test_every_flipped_bit_is_noticed() -> None:
-    """In what was acknowledged, and with the mark behind it there: the start is refused, naming the file."""
-    files = folder()
+def test_every_flipped_bit_is_detected() -> None:
+    """A flipped bit in acknowledged data followed by its mark must prevent the start and name the file."""
+    files = new_folder()
     storage = Storage(files, segment_bytes=10_000)
     storage.open()
-    script(storage, Promised(), [])
+    write_script(storage, ExpectedState(), [])
     storage.close()
     clean = {name: file.copy() for name, file in files.present.items()}
-    want = Storage(files).open()
+    expected = Storage(files).open()
     rng = Random(4)
     for name in ("identity", "snap-40", "log-00000000000000000001"):
         size = len(clean[name].data)
         for bit in rng.sample(range(size * 8), min(300, size * 8)):
-            files = folder()
-            files.present = {n: f.copy() for n, f in clean.items()}
+            files = new_folder()
+            files.present = {file_name: copied.copy() for file_name, copied in clean.items()}
             files.durable = dict(files.present)
             files.locked = False
             files.flip(name, bit)
@@ -183,91 +192,95 @@
                 found = Storage(files).open()
             except StorageError as error:
                 assert name in str(error)
-            else:  # a mark alone may be damaged: it holds nothing
-                assert (found.hard, found.snapshot, found.entries) == (want.hard, want.snapshot, want.entries)
+            else:  # only a mark is damaged, which holds no data
+                assert (found.hard, found.snapshot, found.entries) == (
+                    expected.hard,
+                    expected.snapshot,
+                    expected.entries,
+                )
                 assert found.notes
 
 
-def test_a_torn_tail_is_cut_and_told_and_damage_before_it_names_its_offset() -> None:
-    files = folder()
+def test_a_torn_tail_is_cut_off_and_earlier_damage_is_reported_with_its_offset() -> None:
+    files = new_folder()
     storage = Storage(files)
     storage.open()
-    storage.write(HardState(1, ""), entries(1, 3, 1), None)
-    first = len(files.read("log-00000000000000000001"))
-    storage.write(None, entries(4, 6, 1), None)
+    storage.write(HardState(1, ""), make_entries(1, 3, 1), None)
+    first_size = len(files.read("log-00000000000000000001"))
+    storage.write(None, make_entries(4, 6, 1), None)
     storage.close()
     name = "log-00000000000000000001"
-    whole = files.present[name].data
-    files.present[name].durable, files.present[name].pending = whole[: first + 30], []
+    complete = files.present[name].data
+    files.present[name].durable, files.present[name].pending = complete[: first_size + 30], []
     found = Storage(files).open()
-    assert [e.index for e in found.entries] == [1, 2, 3]
-    assert f"{name}: cut at offset {first}" in found.notes[0]
-    files = folder()
+    assert [entry.index for entry in found.entries] == [1, 2, 3]
+    assert f"{name}: cut at offset {first_size}" in found.notes[0]
+    files = new_folder()
     files.append(name)
     files.sync_folder()
-    files.present[name].durable = whole
-    files.flip(name, (first - frames.FRAME.size - 10) * 8)
+    files.present[name].durable = complete
+    files.flip(name, (first_size - frames.FRAME.size - 10) * 8)
     with pytest.raises(StorageError, match=rf"{name}, offset \d+: .*durable; frame \d+ after it is sound"):
         Storage(files).open()
 
 
-def test_a_missing_segment_refuses_the_start() -> None:
-    files = folder()
+def test_a_missing_segment_prevents_the_start() -> None:
+    files = new_folder()
     storage = Storage(files, segment_bytes=200)
     storage.open()
     for n in range(1, 40, 2):
-        storage.write(HardState(1, ""), entries(n, n + 1, 1), None)
+        storage.write(HardState(1, ""), make_entries(n, n + 1, 1), None)
     storage.close()
-    names = [n for n in files.names() if n.startswith("log-")]
-    assert len(names) > 4
-    for gone in names[:-1]:
-        broken = folder()
-        broken.present = {n: f.copy() for n, f in files.present.items() if n != gone}
+    segments = [n for n in files.names() if n.startswith("log-")]
+    assert len(segments) > 4
+    for missing in segments[:-1]:
+        broken = new_folder()
+        broken.present = {n: file.copy() for n, file in files.present.items() if n != missing}
         broken.durable = dict(broken.present)
         with pytest.raises(StorageError, match=r"missing|no segment"):
             Storage(broken).open()
 
 
 @pytest.mark.parametrize("fault", ["full", "sync"])
-def test_after_a_failed_write_nothing_more_is_written(fault: str) -> None:
-    files = folder()
+def test_nothing_is_written_after_a_failed_write(fault: str) -> None:
+    files = new_folder()
     storage = Storage(files)
     storage.open()
-    storage.write(HardState(1, ""), entries(1, 3, 1), None)
+    storage.write(HardState(1, ""), make_entries(1, 3, 1), None)
     if fault == "full":
         files.room = files.size() + 10
     else:
         files.fail_syncs = True
     with pytest.raises(StorageError):
-        storage.write(None, entries(4, 6, 1), None)
-    files.room, files.fail_syncs = None, False  # the disk is well again: what it kept is still unknown
+        storage.write(None, make_entries(4, 6, 1), None)
+    files.room, files.fail_syncs = None, False  # the disk works again, but its contents are unknown
     before = files.operations
     with pytest.raises(StorageError):
-        storage.write(None, entries(4, 6, 1), None)
+        storage.write(None, make_entries(4, 6, 1), None)
     assert files.operations == before
     storage.close()
     files.power_fails()
-    assert [e.index for e in Storage(files).open().entries][:3] == [1, 2, 3]
+    assert [entry.index for entry in Storage(files).open().entries][:3] == [1, 2, 3]
 
 
-def test_text_that_looks_like_a_frame_is_none() -> None:
-    """Whoever has a configuration stored does not know the folder's seed."""
-    fake = frames.frame(0, frames.DATA, 99, b"")
-    files = folder()
+def test_stored_text_cannot_forge_a_frame() -> None:
+    """The author of a stored configuration does not know the seed of the folder's checksums."""
+    forged = frames.pack_frame(0, frames.DATA, 99, b"")
+    files = new_folder()
     storage = Storage(files)
     storage.open()
-    storage.write(None, (Entry(1, 1, Kind.COMMAND, fake * 3),), None)
-    assert not frames.sound_after(frames.checksum(b"f0"), fake, -1)
+    storage.write(None, (Entry(1, 1, Kind.COMMAND, forged * 3),), None)
+    assert not frames.next_valid_frame(frames.checksum(b"f0"), forged, -1)
     storage.close()
 
 
-def test_a_folder_is_for_one_process_and_one_replica(tmp_path: Path) -> None:
+def test_a_folder_belongs_to_one_process_and_one_replica(tmp_path: Path) -> None:
     files = OsFiles(str(tmp_path / "a"))
     files.folder.mkdir()
     create(files, IDENTITY, MEMBERS)
     storage = Storage(files)
     storage.open()
-    storage.write(HardState(1, "a"), entries(1, 3, 1), None)
+    storage.write(HardState(1, "a"), make_entries(1, 3, 1), None)
     with pytest.raises(LockedError):
         Storage(OsFiles(str(tmp_path / "a"))).open()
     code = "import sys; from harepick.store.disk.files import *; OsFiles(sys.argv[1]).lock()"
