--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -1,8 +1,8 @@
-"""The store attached to the ENUM front: one instance that serves look-ups under the store's configuration.
+"""One instance of the ENUM service with a replica of the store; serves look-ups as the store configures it.
 
-It is the front's gate: nothing new starts, and nothing leaves, unless this instance holds its lease, and
-then only to servers of the revision that it adopted. What it knows of the pool goes to the store at a
-bounded rate, and comes back after a restart.
+It is the gate of the ENUM front: look-ups are admitted and attempts are sent only while this instance holds
+its lease, and only to servers of the revision that it adopted. Its pool view is written to the store at a
+bounded rate, and restored from there after a restart.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from anyio.abc import TaskStatus
 from anyio.to_thread import run_sync
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.messages import Attempt
 from harepick.counters import Counters
 from harepick.directory import ServerRecord
@@ -77,59 +77,62 @@
     from harepick.fleet.history import Recorder
     from harepick.ops import Telemetry
 
-VIEW_EVERY = 1.0  # seconds between two writes of the pool view
-FIRST_EVERY = 0.5  # between two tries to write the first configuration
-ALLOT_EVERY = 0.25  # seconds between two tellings of how many calls may be under way at limited servers
-TURNS_EVERY = 0.05  # seconds between two looks at the turns of gaps
-HISTORY_EVERY = 1.0  # between two looks at the role, if nothing wakes the watch
-# Until a configuration is known: everything is refused with a time to come back, as the gate is shut.
+VIEW_INTERVAL_S = 1.0  # between two writes of the pool view
+FIRST_CONFIG_RETRY_S = 0.5  # between two attempts to write the first configuration
+CONCURRENCY_INTERVAL_S = 0.25  # between two updates of the concurrency limits of servers
+SLOT_REQUEST_INTERVAL_S = 0.05  # between two checks whether slots of gaps have to be requested
+HISTORY_INTERVAL_S = 1.0  # between two checks of the role for the history, if no change is notified
+# Used until a configuration is known; the gate is closed then, so every look-up is refused with a retry time.
 PLACEHOLDER_CONFIG = '[[upstream]]\nname = "none"\naddress = "127.0.0.1:9"\ndraining = true\n'
 
 
 class StoreFront:
-    """One instance: the replica, the operators' port, and the ENUM front on top of it."""
+    """One instance: the replica, the operators' port, and the ENUM front that the replica configures."""
 
     def __init__(self, path: str, counters: Counters, log: Log) -> None:
-        """Raises `SettingsError`, also for a folder that can't be used."""
+        """Reads the operator's file at `path` and opens the replica.
+
+        Raises `SettingsError`, also if the folder of the store can't be used.
+        """
         table = read_toml(path)
         settings = read_store(table)
         if settings is None:
             raise SettingsError("setting store is missing")
         self.settings: StoreSettings = settings
-        self._own, self._first = _own_part(table, path)
+        self._instance_keys, self._first_config = _read_instance_keys(table, path)
         self._history = _recorder(table, settings.replica)
         self._ops = _ops_address(table)
         self._serving = False
         self._counters, self._log = counters, log
-        self._allowed: frozenset[str] = frozenset()
+        self._allowed_servers: frozenset[str] = frozenset()
         self._revision = 0
-        self._config: EnumSettings | None = None  # of that revision
-        self._barred: frozenset[str] = frozenset()  # servers that are leaving or out for work, by name
-        self._handover = Handover()  # of this instance's own callers, when it is asked out itself
+        self._config: EnumSettings | None = None  # of revision `_revision`
+        self._excluded: frozenset[str] = frozenset()  # names of servers leaving or out for maintenance
+        self._handover = Handover()  # of this instance's callers, when it goes out for maintenance itself
         self._stage = SERVING
-        self._served = False  # whether this process has been open to calls
-        self._orders = 0  # version of the orders that is followed
-        self._remembered = False
-        nothing = replace(read_store_config(PLACEHOLDER_CONFIG, self._own), upstreams=())
+        self._has_served = False  # whether this process has accepted look-ups
+        self._orders_version = 0  # of the maintenance orders last applied
+        self._view_restored = False
+        placeholder = replace(read_store_config(PLACEHOLDER_CONFIG, self._instance_keys), upstreams=())
         self.buckets = LimitBuckets()
-        self.screen = FleetScreen(self.buckets, clock, self._admitted, self._passed)
-        self.front = EnumFront(nothing, counters, log, gate=self, outer=self.screen)
-        self.turns = SlotRequester(settings.replica, self._blocks, time.time())
-        self.front.owns = self.turns.owns
-        self.replica = Replica(settings, counters, log, self._adopt, self._follow)
-        self.maintenance = MaintenanceManager(self.replica, self._facts, counters, log)
+        self.screen = FleetScreen(self.buckets, clock, self._on_admitted, self._on_gap_passed)
+        self.front = EnumFront(placeholder, counters, log, gate=self, outer=self.screen)
+        self.slot_requester = SlotRequester(settings.replica, self._slot_blocks, time.time())
+        self.front.owns = self.slot_requester.owns
+        self.replica = Replica(settings, counters, log, self._on_adopted, self._on_applied)
+        self.maintenance = MaintenanceManager(self.replica, self._maintenance_inputs, counters, log)
         self.limits = LimitManager(
-            self.replica, self.buckets, self._limit_facts, counters, log, self._judging
+            self.replica, self.buckets, self._limit_inputs, counters, log, self._on_verdict_issued
         )
-        self.membership = MembershipManager(self.replica, self._roster_plan, counters, log)
-        self._auto_gaps: tuple[GapRow, ...] = ()  # those that the fleet has set by itself
-        self._judged: frozenset[str] = frozenset()  # servers under a verdict, by name
-        self._honoured: frozenset[str] = frozenset()  # of these, the ones that fresh calls keep away from
-        self._verdicts = 0  # version of the list that is followed
-        self._holding: set[int] = set()  # numbers of those on it
-        self._bound: set[str] = set()  # servers with a limit on calls under way, by name
-        self._unbound: set[str] = set()  # those that had one
-        self._began = clock()
+        self.membership = MembershipManager(self.replica, self._membership_settings, counters, log)
+        self._auto_gaps: tuple[GapRow, ...] = ()  # set by verdicts
+        self._verdict_servers: frozenset[str] = frozenset()  # names of servers under a verdict
+        self._enforced_verdict_servers: frozenset[str] = frozenset()  # of these, those that get no new calls
+        self._verdicts_version = 0  # of the verdicts last applied
+        self._verdict_ids: set[int] = set()  # of the verdicts last applied
+        self._limited_servers: set[str] = set()  # names of servers with a concurrency limit
+        self._formerly_limited: set[str] = set()  # names of servers whose limit has to be lifted
+        self._started_at = clock()
         try:
             self.replica.open()
         except StorageError as error:
@@ -138,21 +141,24 @@
             raise SettingsError(f"setting store.folder: {error.strerror}: {settings.folder}") from None
 
     def reload(self) -> None:
+        """Does nothing but log: the configuration is in the store."""
         self._log.event("reload_ignored", why="the configuration is in the store: harepick config set")
 
-    # The gate
+    # Gate of the ENUM front
 
     def closed_for(self) -> float | None:
-        if self._revision and self.replica.may_act() and self._handing_over() not in CLOSED_STAGES:
-            self._served = True
+        """Returns None if a new look-up may start, or the seconds after which to try again."""
+        if self._revision and self.replica.may_act() and self._handover_stage() not in CLOSED_STAGES:
+            self._has_served = True
             return None
         return self.replica.retry_after()
 
     def may_send(self, server: str) -> bool:
-        return server in self._allowed and self.replica.may_act() and self._stage != OUT
+        """Returns whether an attempt may be sent to a server now; checked right before each one."""
+        return server in self._allowed_servers and self.replica.may_act() and self._stage != OUT
 
-    def _handing_over(self) -> str:
-        """How far this instance is on its way out, now."""
+    def _handover_stage(self) -> str:
+        """Returns the current stage of the handover of this instance's callers; logs changes."""
         stage = self._handover.stage(clock())
         if stage != self._stage:
             self._stage = stage
@@ -162,85 +168,102 @@
         return stage
 
     def record_sent(self, attempt: Attempt) -> None:
+        """Records an attempt in the history, if there is one."""
         if self._history:
-            # The time of the last look: an acknowledgement after it may have crossed the bytes.
-            looked = time.monotonic() - (time.time() - attempt.checked_at)
+            # The time of the last check: an order acknowledged after it may have crossed the bytes sent.
+            checked_at = time.monotonic() - (time.time() - attempt.checked_at)
             self._history.note(
                 "left",
-                mono=looked,
+                mono=checked_at,
                 call=attempt.call,
                 server=attempt.server,
                 revision=self._revision,
-                orders=self._orders,
+                orders=self._orders_version,
                 lease_left=self.replica.lease_left(),
             )
 
-    def _adopt(self, revision: Revision) -> None:
-        """From here on nothing leaves under an older one."""
-        self._config = config = read_store_config(revision.text, self._own)
+    def _on_adopted(self, revision: Revision) -> None:
+        """Adopts a revision: from here on nothing is sent under an older one."""
+        self._config = config = read_store_config(revision.text, self._instance_keys)
         self.buckets.configure(config.limits, clock())
-        self._hold_shares()
+        self._update_shares()
         if (config.autogap is None) != (self.limits.detector is None):
             self.limits.detector = self.screen.detector = Detector() if config.autogap else None
-        self._unbound |= self._bound - {limit.server for limit in config.limits if limit.server}
+        self._formerly_limited |= self._limited_servers - {
+            limit.server for limit in config.limits if limit.server
+        }
         self._revision = revision.number
-        if not self._remembered:
-            self._remembered = True
-            self._remember()
-        self._take_effect()
+        if not self._view_restored:
+            self._view_restored = True
+            self._restore_view()
+        self._refresh_front()
         self._counters.add("store.adopted")
         if self._history:
-            plan = config.maintenance or MaintenanceSettings()
+            settings = config.maintenance or MaintenanceSettings()
             self._history.note(
                 "adopted",
                 revision=revision.number,
                 index=revision.index,
-                max_out=plan.max_out,
-                max_out_controllers=plan.max_out_controllers,
-                floor=plan.floor,
-                failed_after=plan.failed_after,
-                capacity={u.name: plan.capacity.get(u.name, 1.0) for u in config.upstreams if not u.draining},
+                max_out=settings.max_out,
+                max_out_controllers=settings.max_out_controllers,
+                floor=settings.floor,
+                failed_after=settings.failed_after,
+                capacity={
+                    upstream.name: settings.capacity.get(upstream.name, 1.0)
+                    for upstream in config.upstreams
+                    if not upstream.draining
+                },
             )
         self._log.event("store_adopted", revision=revision.number, author=revision.author)
 
-    def _hold_shares(self) -> None:
-        """This instance's part of every limit, as last applied."""
-        me, limits = self.settings.replica, self.replica.node.state_machine.shares.limits
-        self.buckets.set_shares({name: known.shares.get(me, 0.0) for name, known in limits.items()}, clock())
-
-    def _follow(self, machine: StateMachine) -> None:
-        """From here on nothing fresh leaves for a machine that is leaving or out, or against a verdict, and
-        no more is admitted than the shares."""
-        self._hold_shares()
-        self._allot()
-        if machine.verdicts.version != self._verdicts:
-            self._follow_verdicts(machine.verdicts)
-        if machine.orders.version != self._orders:
-            self._follow_orders(machine.orders)
-
-    def _follow_verdicts(self, verdicts: Verdicts) -> None:
+    def _update_shares(self) -> None:
+        """Sets this instance's share of each limit as in the state machine."""
+        replica, limits = self.settings.replica, self.replica.node.state_machine.shares.limits
+        self.buckets.set_shares(
+            {name: allocation.shares.get(replica, 0.0) for name, allocation in limits.items()}, clock()
+        )
+
+    def _on_applied(self, state_machine: StateMachine) -> None:
+        """Follows applied entries: from here on no new call goes to a server that is in maintenance or under
+        a verdict, and no more calls are admitted than the shares allow.
+        """
+        self._update_shares()
+        self._update_concurrency_limits()
+        if state_machine.verdicts.version != self._verdicts_version:
+            self._apply_verdicts(state_machine.verdicts)
+        if state_machine.orders.version != self._orders_version:
+            self._apply_orders(state_machine.orders)
+
+    def _apply_verdicts(self, verdicts: Verdicts) -> None:
+        """Follows a changed list of verdicts: excluded servers, automatic gaps and blocked callers."""
         if self._history:
             for verdict in verdicts.all:
-                if verdict.version > self._verdicts:
+                if verdict.version > self._verdicts_version:
                     self._history.note(
                         "verdict", verdict=verdict.id, kind=verdict.kind, subject=verdict.subject
                     )
-            for number in self._holding - {verdict.id for verdict in verdicts.all}:
+            for number in self._verdict_ids - {verdict.id for verdict in verdicts.all}:
                 self._history.note("verdict_lifted", verdict=number)
-        self._holding = {verdict.id for verdict in verdicts.all}
-        self._verdicts = verdicts.version
-        self._judged = verdicts.subjects(FAILED, OVERLOADED)
+        self._verdict_ids = {verdict.id for verdict in verdicts.all}
+        self._verdicts_version = verdicts.version
+        self._verdict_servers = verdicts.subjects(FAILED, OVERLOADED)
         self._auto_gaps = tuple(
-            GapRow(id=f"auto:{number}", interval=interval, number=number, reason="set by the fleet itself")
+            GapRow(
+                id=f"auto:{number}",
+                interval=interval,
+                number=number,
+                reason="set by the fleet itself",
+            )
             for number, interval in sorted(verdicts.gapped().items())
         )
         self.screen.blocked = tuple(sorted(verdicts.subjects(BLOCKED)))
-        self._take_effect()
+        self._refresh_front()
 
-    def _follow_orders(self, orders: Orders) -> None:
+    def _apply_orders(self, orders: Orders) -> None:
+        """Follows changed maintenance orders: excluded servers and the handover of this instance."""
         if self._history:
             for order in (*orders.open, *orders.ended):
-                if order.version > self._orders:
+                if order.version > self._orders_version:
                     self._history.note(
                         "order",
                         order=order.id,
@@ -249,55 +272,64 @@
                         version=order.version,
                         index=order.index,
                     )
-        self._orders = orders.version
-        self._barred = orders.excluded(SERVER)
-        plan = (self._config.maintenance if self._config else None) or MaintenanceSettings()
-        own = orders.of(CONTROLLER, self.settings.replica)
-        self._handover.follow(own, clock(), plan.handover, self._served)
-        self._handing_over()
-        self._take_effect()
-
-    def _take_effect(self) -> None:
-        """The configuration as the orders leave it: at once for the last look, and told to the core."""
+        self._orders_version = orders.version
+        self._excluded = orders.excluded(SERVER)
+        settings = (self._config.maintenance if self._config else None) or MaintenanceSettings()
+        own_order = orders.of(CONTROLLER, self.settings.replica)
+        self._handover.follow(own_order, clock(), settings.handover, self._has_served)
+        self._handover_stage()
+        self._refresh_front()
+
+    def _refresh_front(self) -> None:
+        """Applies the current configuration again, with the exclusions by orders and verdicts."""
         if self._config is None:
             return
-        self._apply_barred(self._config)
-        self._allot()  # after the list: a server with a new address is told how much it may get
+        self._apply_to_front(self._config)
+        self._update_concurrency_limits()  # after the list of servers, for those with a new address
+
+    def _update_concurrency_limits(self) -> None:
+        """Sets the front's concurrency limits of servers to this instance's shares.
 
-    def _allot(self) -> None:
-        """Limits on calls under way, as the module hears of free agents. A process that has just started
-        waits: calls of the one before it may be under way."""
+        They are 0 until the deadline of a call has passed since the start, because calls of the previous
+        process may still be under way.
+        """
         config = self._config
         if config is None:
             return
-        shares, me = self.replica.node.state_machine.shares, self.settings.replica
-        young = clock() - self._began < config.deadline * CLOCK_RATE_MARGIN
-        for name in self._unbound:
+        shares, replica = self.replica.node.state_machine.shares, self.settings.replica
+        recently_started = clock() - self._started_at < config.deadline * CLOCK_RATE_MARGIN
+        for name in self._formerly_limited:
             self.front.set_concurrency_limit(name, inf)
-        self._unbound = set()
-        self._bound = {limit.server for limit in config.limits if limit.server}
+        self._formerly_limited = set()
+        self._limited_servers = {limit.server for limit in config.limits if limit.server}
         for limit in config.limits:
             if limit.server:
-                self.front.set_concurrency_limit(limit.server, 0.0 if young else shares.share(limit.id, me))
+                self.front.set_concurrency_limit(
+                    limit.server, 0.0 if recently_started else shares.share(limit.id, replica)
+                )
 
-    async def _allot_again(self) -> None:
-        """As old generations end, and once this process is no longer young."""
+    async def _refresh_concurrency_limits(self) -> None:
+        """Updates the limits regularly, as generations of the core end and the wait after the start ends."""
         while True:
-            await anyio.sleep(ALLOT_EVERY)
-            if self._bound:
-                self._allot()
-
-    def _apply_barred(self, config: EnumSettings) -> None:
-        config = with_draining(config, self._barred)
-        judged = with_draining(config, self._judged)
-        self._honoured = self._judged if ready_servers(judged) else frozenset()
-        if self._honoured:  # what one controller sees must not stop the fleet
-            config = judged
-        self._allowed = ready_servers(config)
+            await anyio.sleep(CONCURRENCY_INTERVAL_S)
+            if self._limited_servers:
+                self._update_concurrency_limits()
+
+    def _apply_to_front(self, config: EnumSettings) -> None:
+        """Applies the configuration to the front, with excluded servers draining and automatic gaps added."""
+        config = with_draining(config, self._excluded)
+        without_verdict_servers = with_draining(config, self._verdict_servers)
+        self._enforced_verdict_servers = (
+            self._verdict_servers if ready_servers(without_verdict_servers) else frozenset()
+        )
+        # A verdict rests on what controllers observe, so verdicts may never exclude the last ready servers.
+        if self._enforced_verdict_servers:
+            config = without_verdict_servers
+        self._allowed_servers = ready_servers(config)
         self.front.apply(replace(config, gaps=(*config.gaps, *self._auto_gaps)))
 
-    def _facts(self) -> MaintenanceInputs | None:
-        """What the rule of maintenance has to know of this instance and its configuration."""
+    def _maintenance_inputs(self) -> MaintenanceInputs | None:
+        """Returns this instance's inputs of the maintenance policy; None without a configuration."""
         config = self._config
         if config is None:
             return None
@@ -305,56 +337,70 @@
         return MaintenanceInputs(
             settings=config.maintenance or MaintenanceSettings(),
             revision=self._revision,
-            servers=frozenset(u.name for u in config.upstreams if not u.draining),
-            failed=self._honoured & verdicts.subjects(FAILED),
-            overloaded=self._honoured & verdicts.subjects(OVERLOADED),
-            idle=self._handing_over() == CLOSED and self.front.idle,
+            servers=frozenset(upstream.name for upstream in config.upstreams if not upstream.draining),
+            failed=self._enforced_verdict_servers & verdicts.subjects(FAILED),
+            overloaded=self._enforced_verdict_servers & verdicts.subjects(OVERLOADED),
+            idle=self._handover_stage() == CLOSED and self.front.idle,
         )
 
-    def _roster_plan(self) -> MembershipSettings | None:
+    def _membership_settings(self) -> MembershipSettings | None:
+        """Returns the settings of the membership policy; None without a configuration."""
         return (self._config.membership or MembershipSettings()) if self._config else None
 
-    def _limit_facts(self) -> LimitInputs | None:
+    def _limit_inputs(self) -> LimitInputs | None:
+        """Returns this instance's inputs of the policy of limits; None without a configuration."""
         config = self._config
         if config is None:
             return None
         avoided = self.front.avoided
-        ready = [u for u in config.upstreams if not u.draining and u.name not in self._barred | self._judged]
+        ready = [
+            upstream
+            for upstream in config.upstreams
+            if not upstream.draining and upstream.name not in self._excluded | self._verdict_servers
+        ]
         return LimitInputs(
             revision=self._revision,
             limits=config.limits,
             verdict_settings=config.verdicts or VerdictSettings(),
-            avoided=frozenset(u.name for u in ready if server_name(u.name, u.address) in avoided),
+            avoided=frozenset(
+                upstream.name for upstream in ready if server_name(upstream.name, upstream.address) in avoided
+            ),
             longest_call_s=config.deadline,
             auto_gaps=config.autogap,
-            configured_numbers=frozenset(row.number for row in config.gaps if row.number),
+            configured_numbers=frozenset(gap.number for gap in config.gaps if gap.number),
         )
 
-    def _passed(self, called: str, now: float) -> None:
+    def _on_gap_passed(self, called: str, now: float) -> None:
+        """Records in the history which gaps a call has passed, and in which slots."""
         if self._history is None or self.front.gaps is None or self._config is None:
             return
         for gap in self.front.gaps.explain(called, self._config.call_class, now):
             if 0 < gap.interval < BLOCK_ALL:
                 self._history.note("passed", gap=gap.id, slot=floor(now / gap.interval))
 
-    def _admitted(self, limit: str) -> None:
+    def _on_admitted(self, limit: str) -> None:
         if self._history:
             self._history.note("admitted", limit=limit)
 
-    def _judging(self, judge: IssueVerdict) -> None:
-        self._log.event("verdict", kind=judge.kind, subject=judge.subject, why=judge.why)
+    def _on_verdict_issued(self, command: IssueVerdict) -> None:
+        """Logs and records a verdict that this instance proposes."""
+        self._log.event("verdict", kind=command.kind, subject=command.subject, why=command.why)
         if self._history:
-            self._history.note("judging", kind=judge.kind, subject=judge.subject)
+            self._history.note("judging", kind=command.kind, subject=command.subject)
 
-    def _names(self) -> frozenset[str]:
-        return frozenset(u.name for u in self._config.upstreams) if self._config else frozenset()
+    def _server_names(self) -> frozenset[str]:
+        return (
+            frozenset(upstream.name for upstream in self._config.upstreams) if self._config else frozenset()
+        )
 
-    # What the ops listener tells
+    # For the ops listener
 
     def ready(self) -> bool:
+        """Returns whether this instance accepts look-ups and is not handing its callers over."""
         return self._serving and self.closed_for() is None and self._stage == SERVING
 
     def telemetry(self) -> Telemetry:
+        """Returns the current metrics."""
         from harepick.ops import Telemetry
 
         counters = self._counters
@@ -372,20 +418,21 @@
     async def run(
         self, stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Serves until `stop` is set."""
         async with anyio.create_task_group() as tasks:
-            desk = MaintenanceApi(self.replica, self.maintenance, self._names)
-            limits = LimitApi(self.replica, self.limits, self._names)
-            OperatorApi(self.replica, self._counters, desk.methods | limits.methods)
+            maintenance_api = MaintenanceApi(self.replica, self.maintenance, self._server_names)
+            limit_api = LimitApi(self.replica, self.limits, self._server_names)
+            OperatorApi(self.replica, self._counters, maintenance_api.methods | limit_api.methods)
             await tasks.start(self.replica.run)
             tasks.start_soon(self.maintenance.run)
             tasks.start_soon(self.limits.run)
             tasks.start_soon(self.membership.run)
-            tasks.start_soon(self._ask_turns)
-            tasks.start_soon(self._allot_again)
-            tasks.start_soon(self._tell_view)
+            tasks.start_soon(self._request_slots)
+            tasks.start_soon(self._refresh_concurrency_limits)
+            tasks.start_soon(self._publish_view)
             if self._history:
-                tasks.start_soon(self._tell_history, self._history)
-            if self._ops:  # off unless configured: not even loaded then
+                tasks.start_soon(self._record_history, self._history)
+            if self._ops:  # imported only if configured
                 from harepick.ops import OpsListener
 
                 pages = {
@@ -394,53 +441,57 @@
                     "/api/members": self.membership.status,
                 }
                 await tasks.start(OpsListener(self._ops, self, self._counters, self._log, pages).run)
-                tasks.start_soon(self._until_stopped, stop)
-            if self._first is not None:
-                tasks.start_soon(self._write_first, self._first)
+                tasks.start_soon(self._track_serving, stop)
+            if self._first_config is not None:
+                tasks.start_soon(self._write_first_config, self._first_config)
             await self.front.run(stop, task_status=task_status)
             tasks.cancel_scope.cancel()
 
-    async def _until_stopped(self, stop: anyio.Event) -> None:
-        """Ready from the first current configuration on, until the stop."""
+    async def _track_serving(self, stop: anyio.Event) -> None:
+        """Marks this instance as serving until `stop` is set."""
         self._serving = True
         await stop.wait()
         self._serving = False
 
-    async def _tell_history(self, history: Recorder) -> None:
-        """Changes of role, and of the members as committed."""
+    async def _record_history(self, history: Recorder) -> None:
+        """Records changes of the role and of the committed membership in the history."""
         history.note("began", process=os.getpid())
-        seen: tuple[object, ...] = ()
-        settled: object = None
+        last_state: tuple[object, ...] = ()
+        committed: object = None
         while True:
             node = self.replica.node
-            told = node.raft.committed_membership
-            if told != settled:
-                settled = told
-                history.note("voters", voters=told[1].voters, index=told[0])
-            now = (node.raft.role.value, node.raft.term, node.raft.leader, node.stopped)
-            if now != seen:
-                seen = now
-                history.note("role", role=now[0], term=now[1], leader=now[2], stopped=now[3])
-            await self.replica.wait_for_change(HISTORY_EVERY)
-
-    def _blocks(self, name: str, instance: str) -> list[SlotBlock]:
+            membership = node.raft.committed_membership
+            if membership != committed:
+                committed = membership
+                history.note("voters", voters=membership[1].voters, index=membership[0])
+            state = (node.raft.role.value, node.raft.term, node.raft.leader, node.stopped)
+            if state != last_state:
+                last_state = state
+                history.note("role", role=state[0], term=state[1], leader=state[2], stopped=state[3])
+            await self.replica.wait_for_change(HISTORY_INTERVAL_S)
+
+    def _slot_blocks(self, name: str, instance: str) -> list[SlotBlock]:
         return self.replica.node.state_machine.slots.blocks(name, instance)
 
-    async def _ask_turns(self) -> None:
-        """Turns of gaps, as long as calls come for them here: a message for some slots, never for a call."""
+    async def _request_slots(self) -> None:
+        """Requests slots of the gaps that apply to calls here, several slots a message and none per call."""
         while True:
-            await anyio.sleep(TURNS_EVERY)
+            await anyio.sleep(SLOT_REQUEST_INTERVAL_S)
             gaps = self.front.gaps
             if gaps is None or not self.replica.may_act():
                 continue
-            for ask in self.turns.due_requests(time.time(), gaps.uses()):
-                body = RequestSlots(ask.instance, ask.gap, ask.first, ask.demand, time.time(), ask.most)
+            for request in self.slot_requester.due_requests(time.time(), gaps.uses()):
+                body = RequestSlots(
+                    request.instance, request.gap, request.first, request.demand, time.time(), request.most
+                )
                 self.replica.change_nowait(Envelope("", 0, body))
                 self._counters.add("gaps.asked")
 
-    async def _write_first(self, text: str) -> None:
-        """The first configuration of a new cluster, from the file that `store.first` names; one of them
-        wins."""
+    async def _write_first_config(self, text: str) -> None:
+        """Writes the first configuration of a new cluster, from the file that `store.first` names.
+
+        All instances try; only the first write takes effect.
+        """
         text = await run_sync(with_start_times, text, "", time.time())
         envelope = Envelope("", 0, Put(text, 0, f"{self.settings.replica}: store.first", "", time.time()))
         while self.replica.node.revision is None and not self.replica.node.stopped:
@@ -451,30 +502,32 @@
                     if isinstance(answer, Done | Conflict):
                         return
             except (NotLeaderError, BusyError, StoreUnavailableError):
-                pass  # another leads, and does the same; or nobody does yet
-            await anyio.sleep(FIRST_EVERY)
+                pass  # another instance leads and writes its own, or there is no leader yet
+            await anyio.sleep(FIRST_CONFIG_RETRY_S)
 
-    # The pool view
+    # Pool view
 
-    def _remember(self) -> None:
-        """What this instance knew last goes to the module as the remembered list."""
+    def _restore_view(self) -> None:
+        """Hands the stored pool view of this instance to the front as the remembered list."""
         view = self.replica.node.state_machine.views.get(self.settings.replica)
         if view is None:
             return
         rows = []
         for row in view.rows:
-            entry = i.ServerEntry(row.server, row.number, row.state, row.size, row.started, row.zone)
+            entry = interface.ServerEntry(row.server, row.number, row.state, row.size, row.started, row.zone)
             rows.append(ServerRecord(entry, parse_address(row.address, "view.address")))
         self.front.remember(rows)
         self._counters.add("store.remembered", len(rows))
-        self._log.event("store_remembered", servers=[f"{r.server} {r.state}" for r in view.rows])
+        self._log.event(
+            "store_remembered", servers=[f"{record.server} {record.state}" for record in view.rows]
+        )
 
-    def _rows(self) -> tuple[PoolViewRow, ...]:
+    def _view_rows(self) -> tuple[PoolViewRow, ...]:
         directory = self.front.directory
         rows = []
         for entry in directory.entries():
-            row = directory.get(entry.server)
-            assert row
+            record = directory.get(entry.server)
+            assert record
             rows.append(
                 PoolViewRow(
                     entry.server,
@@ -483,18 +536,18 @@
                     entry.size,
                     entry.started,
                     entry.zone,
-                    str(row.address),
+                    str(record.address),
                 )
             )
         return tuple(rows)
 
-    async def _tell_view(self) -> None:
-        """Keeps the store's copy of what we know up to date, off the path of calls."""
+    async def _publish_view(self) -> None:
+        """Keeps the stored pool view of this instance up to date, off the path of calls."""
         while True:
-            await anyio.sleep(VIEW_EVERY)
+            await anyio.sleep(VIEW_INTERVAL_S)
             if not self._revision or not self.replica.may_act():
                 continue
-            rows = self._rows()
+            rows = self._view_rows()
             known = self.replica.node.state_machine.views.get(self.settings.replica)
             if known is None or known.rows != rows:
                 view = PoolView(self.settings.replica, rows, at=time.time())
@@ -503,7 +556,7 @@
 
 
 def _recorder(table: Mapping[str, Any], replica: str) -> Recorder | None:
-    """The history, if `[history]` asks for one; else its part of the program is not even loaded."""
+    """Opens the history if `[history]` is set; imports its module only then. Raises `SettingsError`."""
     if "history" not in table:
         return None
     from harepick.fleet.history import Recorder, read_history
@@ -517,7 +570,7 @@
 
 
 def _ops_address(table: Mapping[str, Any]) -> Address | None:
-    """`[ops] listen`: where readiness, figures and the orders of maintenance are told; off without it."""
+    """Reads `[ops] listen`, the address for readiness, metrics and status pages; None without it."""
     ops = table.get("ops")
     if ops is None:
         return None
@@ -526,27 +579,27 @@
     return parse_address(ops.get("listen"), "ops.listen")
 
 
-def _own_part(table: Mapping[str, Any], path: str) -> tuple[dict[str, Any], str | None]:
-    """An instance's own keys of [enum], and the text of the first configuration."""
+def _read_instance_keys(table: Mapping[str, Any], path: str) -> tuple[dict[str, Any], str | None]:
+    """Reads an instance's own keys of `[enum]`, and the text of the first configuration if one is named."""
     for section in sorted(table.keys() - {"store", "enum", "history", "ops"}):
         raise SettingsError(
             f"setting {section} belongs in the store's configuration: "
             "put it in the file that store.first names"
         )
-    front = table.get("enum", {})
-    if not isinstance(front, Mapping):
-        raise SettingsError(f"setting enum makes no sense: {front!r}")
-    for key in sorted(front.keys() - INSTANCE_KEYS):
+    enum = table.get("enum", {})
+    if not isinstance(enum, Mapping):
+        raise SettingsError(f"setting enum is not a table: {enum!r}")
+    for key in sorted(enum.keys() - INSTANCE_KEYS):
         raise SettingsError(f"setting enum.{key} belongs in the store's configuration")
     first = table["store"].get("first")
     if first is None:
-        return dict(front), None
+        return dict(enum), None
     if not isinstance(first, str):
-        raise SettingsError(f"setting store.first is no path: {first!r}")
-    where = Path(path).parent / first
+        raise SettingsError(f"setting store.first is not a path: {first!r}")
+    first_path = Path(path).parent / first
     try:
-        text = where.read_text()
+        text = first_path.read_text()
         read_store_config(text)
     except (OSError, ValueError) as error:  # a `SettingsError` is a ValueError
-        raise SettingsError(f"setting store.first: {where}: {error}") from None
-    return dict(front), text
+        raise SettingsError(f"setting store.first: {first_path}: {error}") from None
+    return dict(enum), text
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -1,4 +1,4 @@
-"""Real daemons on one store: what operators do to them, and what happens to them."""
+"""Daemons with a replicated store, as separate processes: operators' commands, faults and recovery."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 @pytest.fixture
 def upstream() -> Iterator[Upstream]:
-    made = Upstream()
-    yield made
-    made.close()
+    server = Upstream()
+    yield server
+    server.close()
 
 
-def serving(daemon: Daemon, within: float = 10.0) -> None:
-    """Waits until it answers a look-up from an upstream."""
+def wait_until_serving(daemon: Daemon, within: float = 10.0) -> None:
+    """Waits until the daemon answers a look-up with an upstream's answer."""
     client = Client(daemon.dns_port)
 
     def served() -> bool:
@@ -47,7 +47,7 @@
     until(served, within, f"a look-up served by {daemon.name}: {daemon.log.read_text()[-3000:]}")
 
 
-def put(tmp_path: Path, text: str) -> str:
+def write_config(tmp_path: Path, text: str) -> str:
     path = tmp_path / "wanted.toml"
     path.write_text(text)
     return str(path)
@@ -57,35 +57,35 @@
     upstream: Upstream, tmp_path: Path
 ) -> None:
     other = Upstream()
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
         route = '[[route]]\nprefix = "+94"\nupstreams = ["south"]\n'
         text = config_text(("north", upstream.port), ("south", other.port)) + route
-        assert "revision 2" in made.ask("config", "set", put(tmp_path, text))
+        assert "revision 2" in store.ask("config", "set", write_config(tmp_path, text))
         client = Client(daemon.dns_port)
         assert client.ask("7.6.5.4.3.2.1.1.1.4.9.e164.arpa.").rcode() == dns.rcode.NOERROR
         assert len(other.came()) == 1, "the route was not taken"
-        until(lambda: "south" in made.ask("config", "get"), why="the revision")
+        until(lambda: "south" in store.ask("config", "get"), why="the revision")
         views = until(lambda: daemon.counters().get("store.views"), why="the pool view")
         assert views
         time.sleep(0.2)
         daemon.kill()
         daemon.start()
-        serving(daemon)
+        wait_until_serving(daemon)
         assert daemon.events("store_remembered")[-1]["servers"] == [
             f"north@{HOST}:{upstream.port} ready",
             f"south@{HOST}:{other.port} ready",
         ]
-        assert made.ask("config", "get") == text
+        assert store.ask("config", "get") == text
         assert client.ask("7.6.5.4.3.2.1.1.1.4.9.e164.arpa.").rcode() == dns.rcode.NOERROR
         assert daemon.stop() == 0
 
 
 def test_a_faulty_configuration_names_its_key_and_changes_nothing(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        serving(made.daemons[0])
-        before = made.ask("config", "get")
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        wait_until_serving(store.daemons[0])
+        before = store.ask("config", "get")
         for text, key in (
             ("[rules]\ntry_limit = 0\n", "rules.try_limit"),
             ('[enum]\nlisten = "127.0.0.1:1"\n', "enum.listen"),
@@ -94,315 +94,343 @@
             ("[rule]\n", "rule"),
             ('[[route]]\nprefix = "0094"\nupstreams = ["x"]\n', "upstream"),
         ):
-            told = made.ask("config", "set", put(tmp_path, text), code=1)
-            assert key in told, told
-            assert key in made.tool("config", "check", put(tmp_path, text), code=1)
+            output = store.ask("config", "set", write_config(tmp_path, text), code=1)
+            assert key in output, output
+            assert key in store.tool("config", "check", write_config(tmp_path, text), code=1)
 
             async def unchecked(text: str = text, key: str = key) -> None:
-                """The same for a tool that does not look itself."""
+                """The replica rejects it too if the tool does not check it first."""
                 async with StoreClient(
-                    made.name, [parse_address(f"{HOST}:{made.daemons[0].store_port}", "")]
-                ) as c:
+                    store.name, [parse_address(f"{HOST}:{store.daemons[0].store_port}", "")]
+                ) as client:
                     with pytest.raises(StoreError) as caught:
-                        await c.call("set", {"text": text}, 5.0)
+                        await client.call("set", {"text": text}, 5.0)
                     assert caught.value.code == "invalid" and key in str(caught.value)
 
             anyio.run(unchecked)
-        assert made.ask("config", "get") == before
-        assert len(made.ask("config", "history").splitlines()) == 1
+        assert store.ask("config", "get") == before
+        assert len(store.ask("config", "history").splitlines()) == 1
 
 
 def test_history_diff_rollback_and_two_changes_of_one_revision(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        serving(made.daemons[0])
-        first = made.ask("config", "get")
-        path = put(tmp_path, config_text(("south", upstream.port)))
-        made.ask("config", "set", path, "--expect", "1", "--note", "to the south")
-        told = made.ask("config", "set", path, "--expect", "1", code=4)
-        assert "1 was expected, and 2 is the latest" in told
-        assert '-name = "north"' in made.ask("config", "diff")
-        made.ask("config", "rollback", "1")
-        assert made.ask("config", "get") == first
-        rows = orjson.loads(made.ask("config", "history", "--json"))
-        assert [r["revision"] for r in rows] == [3, 2, 1] and rows[1]["note"] == "to the south"
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        wait_until_serving(store.daemons[0])
+        first = store.ask("config", "get")
+        path = write_config(tmp_path, config_text(("south", upstream.port)))
+        store.ask("config", "set", path, "--expect", "1", "--note", "to the south")
+        output = store.ask("config", "set", path, "--expect", "1", code=4)
+        assert "1 was expected, and 2 is the latest" in output
+        assert '-name = "north"' in store.ask("config", "diff")
+        store.ask("config", "rollback", "1")
+        assert store.ask("config", "get") == first
+        rows = orjson.loads(store.ask("config", "history", "--json"))
+        assert [row["revision"] for row in rows] == [3, 2, 1] and rows[1]["note"] == "to the south"
         assert "rollback to 1" in rows[0]["note"]
-        assert "not kept" in made.ask("config", "rollback", "99", code=1)
-        watched = made.ask("config", "watch", "--after", "0", "--count", "3", "--json")
+        assert "not kept" in store.ask("config", "rollback", "99", code=1)
+        watched = store.ask("config", "watch", "--after", "0", "--count", "3", "--json")
         assert [orjson.loads(line)["revision"] for line in watched.splitlines()] == [1, 2, 3]
 
 
 def test_a_change_of_class_and_rules_takes_effect_without_a_restart(
     upstream: Upstream, tmp_path: Path
 ) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
         upstream.mode = "silent"
         client = Client(daemon.dns_port)
-        slow = client.query("1.1.e164.arpa.")
-        client.send(slow)  # under the old deadline of 2 s
+        old_query = client.query("1.1.e164.arpa.")
+        client.send(old_query)  # under the old deadline of 2 s
         until(lambda: len(upstream.came()) >= 2, why="the query")
         text = '[enum]\ndeadline_ms = 600\nsuffix = "lpo.example."\n' + config_text(("north", upstream.port))
-        made.ask("config", "set", put(tmp_path, text))
+        store.ask("config", "set", write_config(tmp_path, text))
         until(lambda: daemon.events("new_generation"), why="the new generation")
         began = time.time()
-        quick = Client(daemon.dns_port)
-        answer = quick.ask("1.1.lpo.example.")
+        new_client = Client(daemon.dns_port)
+        answer = new_client.ask("1.1.lpo.example.")
         assert answer.rcode() == dns.rcode.SERVFAIL and time.time() - began < 0.7
-        assert quick.ask("1.1.e164.arpa.").rcode() == dns.rcode.REFUSED
+        assert new_client.ask("1.1.e164.arpa.").rcode() == dns.rcode.REFUSED
         upstream.mode = "serve"
-        old = client.hear()
-        assert old is not None and old.id == slow.id, "a look-up under way was dropped by the change"
-        assert quick.ask("2.1.lpo.example.").rcode() in (dns.rcode.NOERROR, dns.rcode.SERVFAIL)
+        old_answer = client.hear()
+        assert old_answer is not None and old_answer.id == old_query.id, (
+            "a look-up under way was dropped by the change"
+        )
+        assert new_client.ask("2.1.lpo.example.").rcode() in (dns.rcode.NOERROR, dns.rcode.SERVFAIL)
         assert daemon.stop() == 0
 
 
-def test_a_drain_through_the_store_is_kept_at_once_on_all_instances(tmp_path: Path) -> None:
-    stand_ins = Upstreams(2)
-    north, south = (("north", stand_ins.ports[0]), ("south", stand_ins.ports[1]))
-    with cluster(3, config_text(north, south)) as made:
-        for daemon in made.daemons:
-            until(lambda d=daemon: d.events("store_adopted"), why="the first revision")  # type: ignore[misc]
-        askers = [Asker(d.dns_port, 100, n) for n, d in enumerate(made.daemons)]
-        for asker in askers:
-            asker.start()
+def test_a_drain_through_the_store_holds_on_all_instances_once_acknowledged(tmp_path: Path) -> None:
+    fake_servers = Upstreams(2)
+    north, south = (("north", fake_servers.ports[0]), ("south", fake_servers.ports[1]))
+    with cluster(3, config_text(north, south)) as store:
+        for daemon in store.daemons:
+            until(lambda instance=daemon: instance.events("store_adopted"), why="the first revision")  # type: ignore[misc]
+        load_generators = [
+            Asker(instance.dns_port, 100, number) for number, instance in enumerate(store.daemons)
+        ]
+        for load_generator in load_generators:
+            load_generator.start()
         time.sleep(1.5)
         text = config_text(north, south).replace(
             f":{north[1]}" + '"\n', f":{north[1]}" + '"\ndraining = true\n', 1
         )
-        made.ask("config", "set", put(tmp_path, text))
+        store.ask("config", "set", write_config(tmp_path, text))
         acknowledged = time.time()
         time.sleep(1.0)
-        for asker in askers:
-            asker.finish()
-    came = stand_ins.finish()
-    assert sum(n == 0 for _, n in came) > 20, "nothing went there before the drain"
-    # Not only in 250 ms: once it is acknowledged, no instance sends there any more.
-    assert max(when for when, n in came if n == 0) <= acknowledged
-    assert sum(when > acknowledged for when, _ in came) > 50
-
-
-def test_a_cut_off_or_paused_instance_refuses_at_once_and_comes_back(upstream: Upstream) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        left, *others = made.daemons
+        for load_generator in load_generators:
+            load_generator.finish()
+    queries = fake_servers.finish()
+    assert sum(number == 0 for _, number in queries) > 20, "nothing went there before the drain"
+    # From the acknowledgement on, no instance sends to the drained server, not even for 250 ms.
+    assert max(sent_at for sent_at, number in queries if number == 0) <= acknowledged
+    assert sum(sent_at > acknowledged for sent_at, _ in queries) > 50
+
+
+def test_an_isolated_instance_refuses_at_once_and_recovers(upstream: Upstream) -> None:
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        isolated, *others = store.daemons
         for other in others:
             other.pause()
-        client = Client(left.dns_port)
+        client = Client(isolated.dns_port)
 
         def refused() -> bool:
             client.send(client.query("5.5.e164.arpa."))
             answer = client.hear(1.0)
             return answer is not None and "stay away" in answer.to_text()
 
-        until(refused, 5.0, "a refusal with a time to come back")
-        came = len(upstream.came())
+        until(refused, 5.0, "a refusal with a retry time")
+        query_count = len(upstream.came())
         began = time.time()
         answer = client.ask("6.6.e164.arpa.")
         assert answer.rcode() == dns.rcode.SERVFAIL and time.time() - began < 0.2
-        assert len(upstream.came()) == came
-        assert left.counters()["answers.not_current"] > 0
-        assert "no leader" in made.ask("store", "status", "--timeout", "1", code=3, at=left)
+        assert len(upstream.came()) == query_count
+        assert isolated.counters()["answers.not_current"] > 0
+        assert "no leader" in store.ask("store", "status", "--timeout", "1", code=3, at=isolated)
         for other in others:
             other.resume()
-        for daemon in made.daemons:
-            serving(daemon)
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
 
 
-@pytest.mark.parametrize("whom", ["leader", "follower"])
-def test_one_that_hears_nothing_and_still_speaks_holds_up_nobody(
-    whom: str, upstream: Upstream, tmp_path: Path
+@pytest.mark.parametrize("role", ["leader", "follower"])
+def test_a_replica_that_only_sends_does_not_block_the_others(
+    role: str, upstream: Upstream, tmp_path: Path
 ) -> None:
-    """Cut in one direction only, in the middle of changes."""
-    with cluster(3, config_text(("north", upstream.port)), proxies=True) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        leader = made.leader()
-        deaf = leader if whom == "leader" else next(d for d in made.daemons if d is not leader)
-        path = put(tmp_path, config_text(("south", upstream.port)))
-        made.proxies[deaf.name].cut = True
-        rest = [d for d in made.daemons if d is not deaf]
+    """Guards against a link that fails in one direction only: the replica can't receive, but its requests for
+    votes reach the others and could disturb their leader."""
+    with cluster(3, config_text(("north", upstream.port)), proxies=True) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        leader = store.leader()
+        send_only = (
+            leader
+            if role == "leader"
+            else next(instance for instance in store.daemons if instance is not leader)
+        )
+        path = write_config(tmp_path, config_text(("south", upstream.port)))
+        store.proxies[send_only.name].cut = True
+        rest = [instance for instance in store.daemons if instance is not send_only]
         for _ in range(5):
-            made.ask("config", "set", path, at=rest[0])
+            store.ask("config", "set", path, at=rest[0])
         acknowledged = time.time()
-        client = Client(deaf.dns_port)
-        for n in range(20):
-            client.send(client.query(f"{n % 10}.5.e164.arpa."))
+        client = Client(send_only.dns_port)
+        for number in range(20):
+            client.send(client.query(f"{number % 10}.5.e164.arpa."))
             client.hear(0.3)
-        # It may not know the new revision, and must not act on the old one.
-        assert not [when for when, *_ in upstream.queries if when > acknowledged]
+        # It may not know the new revision yet, but must not act on the old one.
+        assert not [sent_at for sent_at, *_ in upstream.queries if sent_at > acknowledged]
         for daemon in rest:
-            serving(daemon)
-        terms = {made.status(d)["term"] for d in rest}
+            wait_until_serving(daemon)
+        terms = {store.status(instance)["term"] for instance in rest}
         time.sleep(1.5)
-        assert {made.status(d)["term"] for d in rest} == terms, "the deaf one disturbs elections"
-        made.proxies[deaf.name].cut = False
-        serving(deaf)
-        assert made.status(deaf)["revision"] == 6
+        assert {store.status(instance)["term"] for instance in rest} == terms, (
+            "the replica that only sends disturbs elections"
+        )
+        store.proxies[send_only.name].cut = False
+        wait_until_serving(send_only)
+        assert store.status(send_only)["revision"] == 6
 
 
-def test_a_client_is_led_to_the_leader_and_a_repeated_change_counts_once(
+def test_a_client_is_redirected_to_the_leader_and_a_repeated_change_takes_effect_once(
     upstream: Upstream, tmp_path: Path
 ) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        leader = made.leader()
-        follower = next(d for d in made.daemons if d is not leader)
-        serving(follower)
-        path = put(tmp_path, config_text(("south", upstream.port)))
-        assert "revision 2" in made.ask("config", "set", path, at=follower)
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        leader = store.leader()
+        follower = next(instance for instance in store.daemons if instance is not leader)
+        wait_until_serving(follower)
+        path = write_config(tmp_path, config_text(("south", upstream.port)))
+        assert "revision 2" in store.ask("config", "set", path, at=follower)
 
         async def twice() -> None:
-            where = [parse_address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
-            async with StoreClient(made.name, where) as client:
+            addresses = [parse_address(f"{HOST}:{instance.store_port}", "") for instance in store.daemons]
+            async with StoreClient(store.name, addresses) as client:
                 text = config_text(("east", upstream.port))
                 first = await client.call("set", {"text": text}, 10.0)
-                client._number -= 1  # as after a time-out
+                client._number -= 1  # as after a timeout
                 assert await client.call("set", {"text": text}, 10.0) == first
                 assert first["revision"] == 3
 
         anyio.run(twice)
-        assert len(made.ask("config", "history").splitlines()) == 3
+        assert len(store.ask("config", "history").splitlines()) == 3
 
 
-def test_a_change_is_carried_out_by_others_when_the_leader_that_was_asked_hangs(
+def test_a_change_succeeds_on_another_replica_when_the_leader_hangs(
     upstream: Upstream, tmp_path: Path
 ) -> None:
-    """Its connections stay open: a tool waited for its answer until its own time was over."""
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        leader = made.leader()
-        serving(leader)
+    """A hanging leader keeps its connections open, so a tool must not wait for it until its own deadline."""
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        leader = store.leader()
+        wait_until_serving(leader)
 
         async def change() -> None:
-            where = [parse_address(f"{HOST}:{d.store_port}", "") for d in made.daemons]
-            async with StoreClient(made.name, where) as client:
-                assert (await client.call("get", {}, 5.0))["revision"] == 1  # the line to the leader is up
+            addresses = [parse_address(f"{HOST}:{instance.store_port}", "") for instance in store.daemons]
+            async with StoreClient(store.name, addresses) as client:
+                assert (await client.call("get", {}, 5.0))["revision"] == 1  # connects to the leader
                 leader.pause()
-                found = await client.call("set", {"text": config_text(("east", upstream.port))}, 30.0)
-                assert found["revision"] == 2
+                result = await client.call("set", {"text": config_text(("east", upstream.port))}, 30.0)
+                assert result["revision"] == 2
 
         began = time.monotonic()
         anyio.run(change)
-        assert time.monotonic() - began < 25.0, "it waited for the one that hangs"
+        assert time.monotonic() - began < 25.0, "the client waited for the hanging leader"
         leader.resume()
-        serving(leader)
-        assert len(made.ask("config", "history").splitlines()) == 2
-
-
-def test_members_come_and_go_and_the_leader_may_be_among_them(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        leader = made.leader()
-        serving(leader)
-        new = made.joining("r9")
-        new.start()
-        made.ask("store", "add", "r9", f"{HOST}:{new.store_port}")
-        until(lambda: "r9" in made.ask("store", "members") and "learner" not in made.ask("store", "members"))
-        serving(new)
-        assert "member already" in made.ask("store", "add", "r9", f"{HOST}:{new.store_port}", code=2)
-        assert "loopback" in made.ask("store", "add", "r8", "10.0.0.1:99", code=1)
-        made.ask("store", "transfer", new.name)
-        until(lambda: made.leader() is new, why="the transfer")
-        made.ask("store", "remove", new.name, at=leader)
-        until(lambda: made.status(leader)["leader"] not in ("", new.name), 10.0, "a leader among the rest")
-        assert new.name not in made.ask("store", "members", at=leader)
-        client = Client(new.dns_port)
+        wait_until_serving(leader)
+        assert len(store.ask("config", "history").splitlines()) == 2
+
+
+def test_members_are_added_and_removed_including_the_leader(upstream: Upstream, tmp_path: Path) -> None:
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        leader = store.leader()
+        wait_until_serving(leader)
+        joining = store.joining("r9")
+        joining.start()
+        store.ask("store", "add", "r9", f"{HOST}:{joining.store_port}")
+        until(
+            lambda: "r9" in store.ask("store", "members") and "learner" not in store.ask("store", "members")
+        )
+        wait_until_serving(joining)
+        assert "member already" in store.ask("store", "add", "r9", f"{HOST}:{joining.store_port}", code=2)
+        assert "loopback" in store.ask("store", "add", "r8", "10.0.0.1:99", code=1)
+        store.ask("store", "transfer", joining.name)
+        until(lambda: store.leader() is joining, why="the transfer")
+        store.ask("store", "remove", joining.name, at=leader)
+        until(
+            lambda: store.status(leader)["leader"] not in ("", joining.name), 10.0, "a leader among the rest"
+        )
+        assert joining.name not in store.ask("store", "members", at=leader)
+        client = Client(joining.dns_port)
 
         def refused() -> bool:
             client.send(client.query("5.5.e164.arpa."))
             answer = client.hear(1.0)
             return answer is not None and answer.rcode() == dns.rcode.SERVFAIL
 
-        until(refused, 5.0, "refusals by the one that was removed")
-        time.sleep(1.0)  # it would campaign now
-        terms = {made.status(d)["term"] for d in made.daemons if d is not new}
-        made.daemons.remove(new)
-        path = put(tmp_path, config_text(("south", upstream.port)))
-        made.ask("config", "set", path)
-        assert {made.status(d)["term"] for d in made.daemons} == terms, "the removed one disturbs elections"
-        new.kill()
-
-
-def test_a_wiped_folder_is_not_let_in_under_its_old_name(upstream: Upstream) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        wiped = next(d for d in made.daemons if d is not made.leader())
+        until(refused, 5.0, "refusals by the removed replica")
+        time.sleep(1.0)  # long enough for the removed replica to start an election
+        terms = {store.status(instance)["term"] for instance in store.daemons if instance is not joining}
+        store.daemons.remove(joining)
+        path = write_config(tmp_path, config_text(("south", upstream.port)))
+        store.ask("config", "set", path)
+        assert {store.status(instance)["term"] for instance in store.daemons} == terms, (
+            "the removed replica disturbs elections"
+        )
+        joining.kill()
+
+
+def test_a_wiped_replica_is_refused_under_its_old_name(upstream: Upstream) -> None:
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        wiped = next(instance for instance in store.daemons if instance is not store.leader())
         wiped.kill()
-        shutil.rmtree(made.folder / wiped.name)
+        shutil.rmtree(store.folder / wiped.name)
         wiped.start()
         assert wiped.process is not None and wiped.process.wait(10) == 2
         assert "harepick store init" in wiped.log.read_text()
-        made.tool("store", "init", "--operator", str(wiped.path))  # an operator who insists
+        store.tool(
+            "store", "init", "--operator", str(wiped.path)
+        )  # an operator creates the folder again anyway
         wiped.start()
-        rest = [d for d in made.daemons if d is not wiped]
-        until(lambda: any(d.events("store_turned_away") for d in rest), why="its being turned away")
-        assert "wiped" in next(d for d in rest if d.events("store_turned_away")).log.read_text()
-        # With one of the others gone as well there is no majority: the wiped one's vote does not make one.
-        gone = until(
-            lambda: next((d for d in rest if made.status(d)["role"] == "leader"), None), why="a leader"
+        rest = [instance for instance in store.daemons if instance is not wiped]
+        until(
+            lambda: any(instance.events("store_turned_away") for instance in rest),
+            why="the refusal of the wiped replica",
+        )
+        assert (
+            "wiped"
+            in next(instance for instance in rest if instance.events("store_turned_away")).log.read_text()
         )
-        gone.kill()
-        left = next(d for d in rest if d is not gone)
+        # With another replica down there is no majority, and the vote of the wiped one must not make one.
+        leader = until(
+            lambda: next((instance for instance in rest if store.status(instance)["role"] == "leader"), None),
+            why="a leader",
+        )
+        leader.kill()
+        follower = next(instance for instance in rest if instance is not leader)
         time.sleep(2.5)
-        assert made.status(left)["role"] not in ("leader", "candidate")
-        gone.start()
-        serving(gone)
+        assert store.status(follower)["role"] not in ("leader", "candidate")
+        leader.start()
+        wait_until_serving(leader)
 
 
 def test_two_of_three_start_cold_with_and_without_the_newest_entry(
     upstream: Upstream, tmp_path: Path
 ) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        behind = next(d for d in made.daemons if d is not made.leader())
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        behind = next(instance for instance in store.daemons if instance is not store.leader())
         behind.kill()
-        path = put(tmp_path, config_text(("south", upstream.port)))
-        made.ask("config", "set", path)
-        newest = [d for d in made.daemons if d is not behind]
-        for daemon in newest:
+        path = write_config(tmp_path, config_text(("south", upstream.port)))
+        store.ask("config", "set", path)
+        up_to_date = [instance for instance in store.daemons if instance is not behind]
+        for daemon in up_to_date:
             daemon.kill()
         began = time.time()
         behind.start()
-        newest[0].start()
-        serving(behind)
-        serving(newest[0])
-        assert time.time() - began < 10.0  # the figure itself is benchmarks.store_cost's
-        assert "south" in made.ask("config", "get", at=behind)
+        up_to_date[0].start()
+        wait_until_serving(behind)
+        wait_until_serving(up_to_date[0])
+        assert time.time() - began < 10.0  # benchmarks.store_cost measures the time itself
+        assert "south" in store.ask("config", "get", at=behind)
 
 
-def test_a_full_disk_makes_a_replica_step_aside_and_say_so(upstream: Upstream, tmp_path: Path) -> None:
-    """RLIMIT_FSIZE stands in for a full disk: writes past it fail."""
+def test_a_full_disk_stops_the_replica_and_is_reported(upstream: Upstream, tmp_path: Path) -> None:
+    """RLIMIT_FSIZE simulates a full disk: writes beyond it fail."""
     import resource
 
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        victim = next(d for d in made.daemons if d is not made.leader())
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        victim = next(instance for instance in store.daemons if instance is not store.leader())
         assert victim.process
-        size = victim.log.stat().st_size + 4_000  # its log goes to a file as well
+        size = victim.log.stat().st_size + 4_000  # the limit also applies to the daemon's log file
         resource.prlimit(victim.process.pid, resource.RLIMIT_FSIZE, (size, size))
-        path = put(tmp_path, "# " + "x" * size + "\n" + config_text(("south", upstream.port)))
-        made.ask("config", "set", path)
-        until(lambda: victim.events("store_stopped"), why="its stepping aside")
+        path = write_config(tmp_path, "# " + "x" * size + "\n" + config_text(("south", upstream.port)))
+        store.ask("config", "set", path)
+        until(lambda: victim.events("store_stopped"), why="the stop of the replica")
         assert "disk failed" in victim.events("store_stopped")[0]["why"]
-        assert made.status(victim)["role"] == "stopped"
+        assert store.status(victim)["role"] == "stopped"
         answer = Client(victim.dns_port).ask("5.5.e164.arpa.")
         assert answer.rcode() == dns.rcode.SERVFAIL
-        rest = next(d for d in made.daemons if d is not victim)
-        serving(rest)
+        other = next(instance for instance in store.daemons if instance is not victim)
+        wait_until_serving(other)
         victim.kill()
         victim.start()
-        serving(victim)
+        wait_until_serving(victim)
 
 
-def test_strangers_at_the_peer_port_cost_their_connection_alone(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
+def test_invalid_connections_to_the_peer_port_are_closed_and_affect_nothing_else(
+    upstream: Upstream, tmp_path: Path
+) -> None:
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
         silent = [socket.create_connection((HOST, daemon.store_port)) for _ in range(200)]
 
-        def said(data: bytes) -> bytes:
+        def answer_to(data: bytes) -> bytes:
             with socket.create_connection((HOST, daemon.store_port), timeout=5) as sock:
                 sock.sendall(data)
                 answer = b""
@@ -414,31 +442,33 @@
                 return answer
 
         def welcome(hello: Hello) -> Welcome:
-            return wire.welcomes.read(said(wire.frame(hello))[4:])
+            return wire.welcomes.read(answer_to(wire.frame(hello))[4:])
 
-        assert said(b"\xff\xff\xff\xff") == b""
-        assert said(b"GET / HTTP/1.1\r\n\r\n") == b""
-        assert said(wire.frame(Hello("peer", made.name, "r9"))[:-1] + b"\0") is not None
+        assert answer_to(b"\xff\xff\xff\xff") == b""
+        assert answer_to(b"GET / HTTP/1.1\r\n\r\n") == b""
+        assert answer_to(wire.frame(Hello("peer", store.name, "r9"))[:-1] + b"\0") is not None
         assert "cluster" in welcome(Hello("peer", "other", "r9", "f")).error
-        assert "no member" in welcome(Hello("peer", made.name, "r9", "f")).error
-        assert "this one" in welcome(Hello("peer", made.name, "r0", "f")).error
-        assert "version 9" in welcome(Hello("peer", made.name, "r9", "f", 9)).error
-        assert "role" in welcome(Hello("lord", made.name, "r9", "f")).error
-        made.ask("config", "set", put(tmp_path, config_text(("south", upstream.port))))
-        serving(daemon)
+        assert "no member" in welcome(Hello("peer", store.name, "r9", "f")).error
+        assert "this one" in welcome(Hello("peer", store.name, "r0", "f")).error
+        assert "version 9" in welcome(Hello("peer", store.name, "r9", "f", 9)).error
+        assert "role" in welcome(Hello("lord", store.name, "r9", "f")).error
+        store.ask("config", "set", write_config(tmp_path, config_text(("south", upstream.port))))
+        wait_until_serving(daemon)
         counters = daemon.counters()
         assert counters["store.strangers_dropped"] >= 100 and counters["store.malformed"] >= 2
         for sock in silent:
             sock.close()
 
 
-def test_tools_that_stall_or_talk_nonsense_stall_nobody(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
-        hello = wire.frame(Hello("tool", made.name))
-        nonsense = [b"\0\0\0\1\xc1", wire.frame({"id": "x"}), b"\x7f\xff\xff\xff" + b"x" * 100]
-        for data in nonsense:
+def test_tools_that_stall_or_send_malformed_requests_do_not_block_others(
+    upstream: Upstream, tmp_path: Path
+) -> None:
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
+        hello = wire.frame(Hello("tool", store.name))
+        malformed = [b"\0\0\0\1\xc1", wire.frame({"id": "x"}), b"\x7f\xff\xff\xff" + b"x" * 100]
+        for data in malformed:
             with socket.create_connection((HOST, daemon.store_port), timeout=5) as sock:
                 sock.sendall(hello + data)
                 received = b""
@@ -446,10 +476,10 @@
                     received += part
                 assert wire.welcomes.read(received[4:]).error == ""
         with socket.create_connection((HOST, daemon.store_port), timeout=5) as stalled:
-            ask = wire.frame(wire.Request(1, "get", {}))
-            stalled.sendall(hello + ask * 2000)  # and never reads
+            request = wire.frame(wire.Request(1, "get", {}))
+            stalled.sendall(hello + request * 2000)  # never reads the answers
             for _ in range(3):
-                made.ask("config", "set", put(tmp_path, config_text(("south", upstream.port))))
+                store.ask("config", "set", write_config(tmp_path, config_text(("south", upstream.port))))
         for method, arguments, code in (
             ("fly", {}, "unknown_method"),
             ("set", {"text": 3}, "bad_request"),
@@ -465,30 +495,30 @@
                 stream.read(int.from_bytes(stream.read(4), "big"))
                 answer = wire.responses.read(stream.read(int.from_bytes(stream.read(4), "big")))
                 assert answer.error == code, (method, answer)
-        serving(daemon)
+        wait_until_serving(daemon)
 
 
 def test_a_stopped_replicas_folder_can_be_verified_and_dumped(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
-        made.ask("store", "snapshot")
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
+        store.ask("store", "snapshot")
         text = config_text(("south", upstream.port))
-        made.ask("config", "set", put(tmp_path, text))
-        words = ("--operator", str(daemon.path))
-        assert "in use" in made.tool("store", "verify", *words, code=1)
+        store.ask("config", "set", write_config(tmp_path, text))
+        operator_arguments = ("--operator", str(daemon.path))
+        assert "in use" in store.tool("store", "verify", *operator_arguments, code=1)
         assert daemon.stop() == 0
-        told = orjson.loads(made.tool("store", "verify", *words, "--json"))
-        assert told["last"] >= 4 and told["snapshot"] >= 2
-        assert made.tool("store", "dump", *words, "--revision", "0") == text
-        name = sorted((made.folder / "r0").glob("log-*"))[-2 if told["last"] < 4 else -1]
-        data = bytearray(name.read_bytes())
+        report = orjson.loads(store.tool("store", "verify", *operator_arguments, "--json"))
+        assert report["last"] >= 4 and report["snapshot"] >= 2
+        assert store.tool("store", "dump", *operator_arguments, "--revision", "0") == text
+        segment = sorted((store.folder / "r0").glob("log-*"))[-2 if report["last"] < 4 else -1]
+        data = bytearray(segment.read_bytes())
         data[60] ^= 1
-        name.write_bytes(data)
-        assert name.name in made.tool("store", "verify", *words, code=1)
+        segment.write_bytes(data)
+        assert segment.name in store.tool("store", "verify", *operator_arguments, code=1)
         daemon.start()
         assert daemon.process is not None and daemon.process.wait(10) == 2
-        assert name.name in daemon.log.read_text()
+        assert segment.name in daemon.log.read_text()
 
 
 @pytest.mark.parametrize(
@@ -521,21 +551,21 @@
     assert len(done.stderr.strip().splitlines()) == 1
 
 
-def test_an_address_in_use_is_told_by_its_key(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(1, config_text(("north", upstream.port))) as made:
-        daemon = made.daemons[0]
-        serving(daemon)
+def test_an_address_in_use_is_reported_with_its_key(upstream: Upstream, tmp_path: Path) -> None:
+    with cluster(1, config_text(("north", upstream.port))) as store:
+        daemon = store.daemons[0]
+        wait_until_serving(daemon)
         for key in ("enum.listen", "store.listen"):
-            text = daemon.path.read_text().replace(str(made.folder / "r0"), str(tmp_path / "other"))
-            mine = str(daemon.store_port if key == "enum.listen" else daemon.dns_port)
+            text = daemon.path.read_text().replace(str(store.folder / "r0"), str(tmp_path / "other"))
+            own_port = str(daemon.store_port if key == "enum.listen" else daemon.dns_port)
             path = tmp_path / "second.toml"
-            path.write_text(text.replace(mine, str(free_port())))
-            (tmp_path / "first.toml").write_text(made.first.read_text())
-            told = made.tool("run", "--operator", str(path), code=2)
-            assert f"setting {key}" in told and "already in use" in told.lower()
+            path.write_text(text.replace(own_port, str(free_port())))
+            (tmp_path / "first.toml").write_text(store.first.read_text())
+            output = store.tool("run", "--operator", str(path), code=2)
+            assert f"setting {key}" in output and "already in use" in output.lower()
 
 
-def test_nothing_of_the_store_is_loaded_where_it_is_off() -> None:
+def test_the_store_is_not_imported_where_it_is_off() -> None:
     import subprocess
     import sys
 
@@ -558,32 +588,32 @@
         "prometheus_client",
         "h11",
     ):
-        assert not any(m == name or m.startswith(name + ".") for m in loaded), name
+        assert not any(module == name or module.startswith(name + ".") for module in loaded), name
 
 
 def test_sigterm_while_changes_and_look_ups_flow_ends_cleanly(upstream: Upstream, tmp_path: Path) -> None:
-    with cluster(3, config_text(("north", upstream.port))) as made:
-        for daemon in made.daemons:
-            serving(daemon)
-        leader = made.leader()
-        asker = Asker(leader.dns_port, 50, 1)
-        asker.start()
+    with cluster(3, config_text(("north", upstream.port))) as store:
+        for daemon in store.daemons:
+            wait_until_serving(daemon)
+        leader = store.leader()
+        load_generator = Asker(leader.dns_port, 50, 1)
+        load_generator.start()
         done = threading.Event()
-        path = put(tmp_path, config_text(("north", upstream.port)))
+        path = write_config(tmp_path, config_text(("north", upstream.port)))
 
         def change() -> None:
             while not done.is_set():
-                made.ask("config", "set", path)
+                store.ask("config", "set", path)
 
-        changer = threading.Thread(target=change)
-        changer.start()
+        change_thread = threading.Thread(target=change)
+        change_thread.start()
         time.sleep(0.5)
         assert leader.process
         leader.process.send_signal(signal.SIGTERM)
         assert leader.process.wait(8) == 0
         leader.process = None
         done.set()
-        changer.join()
-        asker.finish()
-        assert not any(d.events("crashed") for d in made.daemons)
-        until(lambda: made.leader() is not leader, why="another leader")
+        change_thread.join()
+        load_generator.finish()
+        assert not any(instance.events("crashed") for instance in store.daemons)
+        until(lambda: store.leader() is not leader, why="another leader")
