--- a/harepick/fleet/__init__.py
+++ b/harepick/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet: what several instances of harepick do together, and the rig that shows it under faults.
+"""The fleet: coordination of several instances of harepick, and the fault rig that tests it.
 
-Off on the platform, and not imported there. `docs/design/fleet_rig.md` tells why the rig is as it is.
+The rig is not imported on the platform; `docs/design/fleet_rig.md` explains its design.
 """
--- a/harepick/fleet/child.py
+++ b/harepick/fleet/child.py
@@ -1,8 +1,9 @@
-"""An instance of the program with its clock's rate changed, or with one rule broken: for the rig alone.
+"""Starts an instance of the program with a changed clock rate, or with one rule broken; used only by the rig.
 
     python -m harepick.fleet.child [--clock-rate R] [--double NAME] -- --operator FILE
 
-Without either the rig starts `python -m harepick` itself. A double shows that a check can fail.
+Without these options the rig starts `python -m harepick` itself. Each double breaks one rule, to show that
+the check of that rule can fail.
 """
 
 from __future__ import annotations
@@ -15,66 +16,69 @@
 from harepick import __main__ as program
 
 
-def _skewed(rate: float) -> None:
-    """The store's clock, the one seam it is read through, runs at `rate` from now on."""
+def _set_clock_rate(rate: float) -> None:
+    """Makes the store's clock run at `rate` from now on; the store reads it only through `replica.clock`."""
     from harepick.store import replica
 
-    true = replica.clock
-    start = true()
-    replica.clock = lambda: start + (true() - start) * rate
+    original_clock = replica.clock
+    started_at = original_clock()
+    replica.clock = lambda: started_at + (original_clock() - started_at) * rate
 
 
 def _stale_lease() -> None:
-    """Breaks: an instance acts only while it holds its lease."""
+    """Breaks the rule that an instance acts only while it holds its lease."""
     from harepick.store.leases import Lease
 
     Lease.holds = lambda self, now: True  # type: ignore[method-assign]
 
 
 def _skip_confirmation() -> None:
-    """Breaks: a machine is out only once every instance that may act has confirmed it."""
+    """Breaks the rule that a machine is out only once every instance that may act has confirmed it."""
     from harepick.store.replica import Replica
 
-    true = Replica.leases
+    original = Replica.leases
 
     def leases(self: Replica) -> tuple[frozenset[str], Callable[[int], list[str]]] | None:
-        found = true(self)
-        return (found[0], lambda index: []) if found else None
+        result = original(self)
+        return (result[0], lambda index: []) if result else None
 
     Replica.leases = leases  # type: ignore[method-assign]
 
 
 def _skip_handover() -> None:
-    """Breaks: a controller that is asked out says so, and serves its callers until they have moved."""
+    """Breaks the rule that a controller asked to go out reports that it is not ready, and serves its callers
+    until they have moved."""
     from harepick.fleet.maintenance.handover import Handover
     from harepick.fleet.maintenance.orders import Order
     from harepick.store.service import StoreFront
 
-    true = Handover.follow
+    original = Handover.follow
 
     def follow(self: Handover, order: Order | None, now: float, duration: float, served: bool) -> None:
-        true(self, order, now, 0.0, served)
+        original(self, order, now, 0.0, served)
 
     Handover.follow = follow  # type: ignore[method-assign]
     StoreFront.ready = lambda self: self._serving  # type: ignore[method-assign]
 
 
 def _hasty_failure() -> None:
-    """Breaks: a server has failed once several have avoided it for long, and not when it is full."""
+    """Breaks the rule that a server has failed only once several instances have avoided it for long enough,
+    and not when it is merely full."""
     from harepick.fleet.maintenance.manager import MaintenanceManager
     from harepick.fleet.maintenance.policy import FleetState
 
-    true = MaintenanceManager.fleet_state
+    original = MaintenanceManager.fleet_state
 
-    def sight(self: MaintenanceManager) -> FleetState | None:
-        found = true(self)
-        return replace(found, failed=found.failed | found.avoided, avoided=frozenset()) if found else None
+    def fleet_state(self: MaintenanceManager) -> FleetState | None:
+        state = original(self)
+        return replace(state, failed=state.failed | state.avoided, avoided=frozenset()) if state else None
 
-    MaintenanceManager.fleet_state = sight  # type: ignore[method-assign]
+    MaintenanceManager.fleet_state = fleet_state  # type: ignore[method-assign]
 
 
 def _borrow() -> None:
-    """Breaks: an instance spends only what it holds: its share, its turns, its room at a server."""
+    """Breaks the rule that an instance uses only what it was allocated: its share of a limit, its slots of a
+    gap, its concurrent calls at a server."""
     from harepick.enumdns.service import EnumFront
     from harepick.fleet.limits.caller_buckets import CallerBuckets
     from harepick.fleet.limits.limit_buckets import Bucket
@@ -82,8 +86,8 @@
 
     EnumFront.set_concurrency_limit = lambda self, name, room: None  # type: ignore[method-assign]
     Bucket.has_token = lambda self, now: True  # type: ignore[method-assign]
-    true = CallerBuckets.has_token
-    CallerBuckets.has_token = lambda self, caller, now: true(self, caller, now) or True  # type: ignore[method-assign]
+    original = CallerBuckets.has_token
+    CallerBuckets.has_token = lambda self, caller, now: original(self, caller, now) or True  # type: ignore[method-assign]
     SlotRequester.owns = lambda self, gap, slot: True  # type: ignore[method-assign]
 
 
@@ -100,13 +104,13 @@
     parser = argparse.ArgumentParser(prog="harepick.fleet.child", description=__doc__)
     parser.add_argument("--clock-rate", type=float, default=1.0)
     parser.add_argument("--double", choices=sorted(DOUBLES))
-    parser.add_argument("words", nargs="*", help="what follows -- goes to the program")
-    wanted = parser.parse_args()
-    if wanted.clock_rate != 1.0:
-        _skewed(wanted.clock_rate)
-    if wanted.double:
-        DOUBLES[wanted.double]()
-    sys.argv = ["harepick", *wanted.words]
+    parser.add_argument("words", nargs="*", help="what follows -- is passed to the program")
+    options = parser.parse_args()
+    if options.clock_rate != 1.0:
+        _set_clock_rate(options.clock_rate)
+    if options.double:
+        DOUBLES[options.double]()
+    sys.argv = ["harepick", *options.words]
     return program.main()
 
 
--- a/harepick/fleet/fake_servers.py
+++ b/harepick/fleet/fake_servers.py
@@ -1,7 +1,7 @@
-"""The rig's stand-in servers: DNS servers that answer at once, and tell what arrived and when.
+"""Fake DNS servers of the rig, which answer at once and record what arrived and when.
 
-Every revision of the configuration names addresses of its own, one for each server, so that an arrival tells
-from outside which revision it was sent under. Sockets of old revisions stay open for a while to catch those.
+Every revision of the configuration has its own address for each server, so that the address of an arrival
+shows which revision it was sent under. Sockets of old revisions stay open for a while to catch late arrivals.
 """
 
 from __future__ import annotations
@@ -19,27 +19,28 @@
 from harepick.fleet.ports import HOST
 
 SO_TIMESTAMPNS = 35
-STAMP = struct.Struct("qq")
-DATAGRAM = 2048
-KEPT = 64  # revisions whose sockets stay open
+TIMESTAMP = struct.Struct("qq")
+MAX_DATAGRAM_BYTES = 2048
+MAX_OPEN_REVISIONS = 64  # latest revisions, whose sockets stay open
 ANSWER_BIT = 0x80
 SERVFAIL = 2
 SUFFIX = b"\x04e164\x04arpa\x00"
 
 
 class FakeServers:
-    """`servers` stand-ins; `open` makes their sockets for one more revision."""
+    """The fake servers of a run; `open` creates their sockets for one more revision."""
 
     def __init__(self, servers: int, history: Recorder, answer: float = 0.0, busy: str = "") -> None:
-        """`answer`: seconds that each query is under way there; `busy`: prefix of numbers that fail."""
+        """`servers`: how many; `answer`: seconds until a query is answered; `busy`: prefix of numbers that
+        are answered SERVFAIL."""
         self._busy = b"".join(b"\x01" + digit.encode() for digit in reversed(busy.lstrip("+")))
         self.names = [f"s{n}" for n in range(servers)]
-        self._answer_after = answer
+        self._answer_delay = answer
         self._history = history
         self._tasks: TaskGroup | None = None
         self._scopes: OrderedDict[int, list[anyio.CancelScope]] = OrderedDict()
         self.arrivals = 0
-        self._failed: dict[str, str] = {}  # name -> how
+        self._failure_modes: dict[str, str] = {}  # name -> mode
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         async with anyio.create_task_group() as tasks:
@@ -48,21 +49,22 @@
             await anyio.sleep_forever()
 
     def fail(self, name: str, mode: str) -> None:
-        """From now on it is `silent`, or `failing` (answers SERVFAIL at once), until `repair`."""
-        self._failed[name] = mode
+        """Makes a server `silent`, or `failing` (answers SERVFAIL), until `repair`."""
+        self._failure_modes[name] = mode
         self._history.note("server", server=name, mode=mode)
 
     def repair(self, name: str) -> None:
-        if self._failed.pop(name, None):
+        """Ends the failure of a server, if any."""
+        if self._failure_modes.pop(name, None):
             self._history.note("server", server=name, mode="")
 
     @property
-    def well(self) -> list[str]:
-        """Those that have not failed."""
-        return [name for name in self.names if name not in self._failed]
+    def working(self) -> list[str]:
+        """Names of the servers that have not failed."""
+        return [name for name in self.names if name not in self._failure_modes]
 
     def open(self, n: int) -> list[int]:
-        """The servers' ports for the n-th configuration."""
+        """Opens sockets for the n-th configuration, and returns the servers' ports."""
         assert self._tasks
         ports = []
         scopes = self._scopes[n] = []
@@ -75,7 +77,7 @@
             ports.append(int(sock.getsockname()[1]))
             scopes.append(anyio.CancelScope())
             self._tasks.start_soon(self._serve, sock, name, n, scopes[-1])
-        while len(self._scopes) > KEPT:
+        while len(self._scopes) > MAX_OPEN_REVISIONS:
             for scope in self._scopes.popitem(last=False)[1]:
                 scope.cancel()
         return ports
@@ -85,31 +87,35 @@
             async with anyio.create_task_group() as tasks:
                 while True:
                     await anyio.wait_readable(sock)
-                    with suppress(OSError):  # nothing more is there, or an answer found nobody
+                    with suppress(OSError):  # nothing more to read, or an answer could not be delivered
                         while True:
                             self._answer(sock, name, n, tasks)
 
     def _answer(self, sock: socket.socket, name: str, n: int, tasks: TaskGroup) -> None:
-        data, extra, _, peer = sock.recvmsg(DATAGRAM, 64)
-        seconds, nanoseconds = STAMP.unpack(extra[0][2][: STAMP.size])
-        came = time.monotonic() - (time.time() - (seconds + nanoseconds / 1e9))
+        data, control_messages, _, peer = sock.recvmsg(MAX_DATAGRAM_BYTES, 64)
+        seconds, nanoseconds = TIMESTAMP.unpack(control_messages[0][2][: TIMESTAMP.size])
+        arrived_at = time.monotonic() - (time.time() - (seconds + nanoseconds / 1e9))
         self.arrivals += 1
-        # The n-th configuration is revision n: the rig alone changes it, one change after another.
-        self._history.note("arrived", mono=came, server=name, revision=n)
-        mode = self._failed.get(name)
+        # The n-th configuration is revision n: only the rig changes it, one change after another.
+        self._history.note("arrived", mono=arrived_at, server=name, revision=n)
+        mode = self._failure_modes.get(name)
         if mode == "silent":
             return
         reply = bytearray(data)
         reply[2] |= ANSWER_BIT
-        if mode or (self._busy and self._busy + SUFFIX in data):  # a number ends where the suffix begins
+        if mode or (
+            self._busy and self._busy + SUFFIX in data
+        ):  # the digits are reversed, so a number's prefix stands right before the suffix
             reply[3] = reply[3] & 0xF0 | SERVFAIL
-        if self._answer_after:
-            tasks.start_soon(self._later, sock, bytes(reply), peer, name)
+        if self._answer_delay:
+            tasks.start_soon(self._answer_later, sock, bytes(reply), peer, name)
         else:
             sock.sendto(reply, peer)
 
-    async def _later(self, sock: socket.socket, reply: bytes, peer: tuple[str, int], name: str) -> None:
-        await anyio.sleep(self._answer_after)
+    async def _answer_later(
+        self, sock: socket.socket, reply: bytes, peer: tuple[str, int], name: str
+    ) -> None:
+        await anyio.sleep(self._answer_delay)
         self._history.note("answered", server=name)
         with suppress(OSError):
             sock.sendto(reply, peer)
--- a/harepick/fleet/faults.py
+++ b/harepick/fleet/faults.py
@@ -1,6 +1,7 @@
-"""What links do to messages: faults by direction, partitions, and the schedule of one connection. Pure.
+"""Link faults: faults by direction, partitions, and the delivery schedule of one connection. No I/O.
 
-Time is an argument, chance a seeded source handed in. `relay.py` carries out what is decided here.
+Time is an argument, and randomness comes from a seeded source that is passed in. `relay.py` applies the
+result.
 """
 
 from __future__ import annotations
@@ -9,28 +10,28 @@
 from dataclasses import dataclass, field, fields, replace
 from random import Random
 
-HOLD = 0.03  # seconds that a reordered message is held back, for those behind it to overtake
-TOOL = "tool"  # an operator's tool, the rig's own among them
-ANY = "*"  # every end but tools: the rig must hear of what it cuts
+REORDER_DELAY_S = 0.03  # by which a reordered message is held back, so that later ones overtake it
+TOOL = "tool"  # an operator's tool, such as the rig's own client
+ANY = "*"  # every end but tools: the rig must reach the instances that it cuts off
 
-Link = tuple[str, str]  # who speaks, to whom
+Link = tuple[str, str]  # sender, receiver
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What one direction of a link does; as it stands, nothing. Times in seconds, shares in [0, 1]."""
+    """The faults of one direction of a link; none by default. Times in seconds, probabilities in [0, 1]."""
 
-    drop: bool = False  # all of it, ends of connections too
-    loss: float = 0.0  # share of messages that never come
+    drop: bool = False  # every message, and the ends of connections too
+    loss: float = 0.0  # share of messages that are lost
     delay: float = 0.0
-    jitter: float = 0.0  # up to so much more, drawn for each message
-    reorder: float = 0.0  # share of messages that those behind them overtake
-    duplicate: float = 0.0  # share of messages that come twice
+    jitter: float = 0.0  # upper bound of an additional delay, drawn for each message
+    reorder: float = 0.0  # share of messages that later ones overtake
+    duplicate: float = 0.0  # share of messages that are delivered twice
     cut_at: int | None = None  # bytes of each connection after which it breaks
-    rate: float = 0.0  # bytes a second; 0: no bound
+    rate: float = 0.0  # bytes a second; 0: unlimited
 
     def over(self, other: Fault) -> Fault:
-        """Both at once; where both name a value, this one's counts."""
+        """Combines two faults; where both set a value, this one's is used."""
         named = {f.name: v for f in fields(self) if (v := getattr(self, f.name)) != f.default}
         return replace(other, **named)
 
@@ -39,54 +40,56 @@
 
 
 class Network:
-    """The links as they are now: faults by direction, and the partition on top of them."""
+    """The current state of all links: faults by direction, and a partition on top of them."""
 
     def __init__(self) -> None:
         self._faults: dict[Link, Fault] = {}
         self._groups: list[frozenset[str]] = []
-        self.version = 0  # rises with each change
+        self.version = 0  # incremented by each change
 
-    def set(self, speaker: str, hearer: str, fault: Fault) -> None:
-        """`ANY` on either side stands for every end; the more exact link goes before it."""
+    def set(self, sender: str, receiver: str, fault: Fault) -> None:
+        """Sets the fault of a link. `ANY` on either side means every end; a more specific link takes
+        precedence."""
         self.version += 1
         if fault == CLEAR:
-            self._faults.pop((speaker, hearer), None)
+            self._faults.pop((sender, receiver), None)
         else:
-            self._faults[speaker, hearer] = fault
+            self._faults[sender, receiver] = fault
 
     def partition(self, groups: Iterable[Iterable[str]]) -> None:
-        """Ends of different groups hear nothing of each other; an end in no group hears all."""
+        """Drops all messages between ends of different groups; an end in no group is not affected."""
         self.version += 1
         self._groups = [frozenset(group) for group in groups]
 
     def heal(self) -> None:
-        """No partition any more; faults of single links stay."""
+        """Removes the partition; the faults of single links stay."""
         self.partition(())
 
     def clear(self) -> None:
+        """Removes the partition and all faults."""
         self._faults.clear()
         self.heal()
 
-    def fault(self, speaker: str, hearer: str) -> Fault:
-        """What holds now for what `speaker` says to `hearer`."""
+    def fault(self, sender: str, receiver: str) -> Fault:
+        """The fault in force for messages from `sender` to `receiver`."""
         if not self._faults and not self._groups:
             return CLEAR
-        found = CLEAR
-        exact = (speaker, hearer)
-        for link in (exact,) if TOOL in exact else ((ANY, ANY), (ANY, hearer), (speaker, ANY), exact):
+        combined = CLEAR
+        exact = (sender, receiver)
+        for link in (exact,) if TOOL in exact else ((ANY, ANY), (ANY, receiver), (sender, ANY), exact):
             if one := self._faults.get(link):
-                found = one.over(found)
-        return replace(found, drop=True) if self._apart(speaker, hearer) else found
+                combined = one.over(combined)
+        return replace(combined, drop=True) if self._partitioned(sender, receiver) else combined
 
-    def _apart(self, speaker: str, hearer: str) -> bool:
-        mine = [n for n, group in enumerate(self._groups) if speaker in group]
-        others = [n for n, group in enumerate(self._groups) if hearer in group]
-        return bool(mine and others) and not set(mine) & set(others)
+    def _partitioned(self, sender: str, receiver: str) -> bool:
+        sender_groups = [n for n, group in enumerate(self._groups) if sender in group]
+        receiver_groups = [n for n, group in enumerate(self._groups) if receiver in group]
+        return bool(sender_groups and receiver_groups) and not set(sender_groups) & set(receiver_groups)
 
 
 @dataclass(frozen=True, slots=True)
-class Passage:
-    """Bytes to be sent on at `due`; `cut`: the connection breaks after them."""
+class Delivery:
+    """Bytes to be sent on at time `due`; `cut`: the connection is reset after them."""
 
     due: float
     data: bytes
@@ -94,31 +97,31 @@
 
 
 @dataclass(slots=True)
-class Lane:
-    """One direction of one connection: when each message is due on the other side, if at all.
+class LinkSchedule:
+    """Decides for one direction of one connection when each message is delivered, if at all.
 
-    Without reordering, messages stay in order whatever their delays: those of a stream can't overtake."""
+    Without reordering, messages stay in order whatever their delays, as in a stream."""
 
     rng: Random
-    spared: int = 0  # first messages that loss, repeats and reordering leave alone (a handshake)
-    _last: float = field(default=float("-inf"))  # when the one before is due
-    _free: float = field(default=float("-inf"))  # when a rate-bound link has sent all so far
+    exempt_messages: int = 0  # first messages exempt from loss, duplication and reordering (a handshake)
+    _last_due: float = field(default=float("-inf"))  # due time of the previous message
+    _idle_at: float = field(default=float("-inf"))  # when a link with a rate has sent everything so far
     _bytes: int = 0
-    _version: Fault = CLEAR
+    _fault: Fault = CLEAR
 
-    def passages(self, data: bytes, now: float, fault: Fault) -> Sequence[Passage]:
-        """What becomes of a message that came at `now`."""
-        if fault.cut_at != self._version.cut_at:
-            self._bytes = 0  # counted from when the fault was set
-        self._version = fault
+    def deliveries(self, data: bytes, now: float, fault: Fault) -> Sequence[Delivery]:
+        """The deliveries of a message received at `now`: none if it is lost, two if it is duplicated."""
+        if fault.cut_at != self._fault.cut_at:
+            self._bytes = 0  # bytes are counted from when the fault was set
+        self._fault = fault
         if fault is CLEAR:
-            self.spared = max(0, self.spared - 1)
-            self._last = max(self._last, now)
-            return (Passage(self._last, data),)
+            self.exempt_messages = max(0, self.exempt_messages - 1)
+            self._last_due = max(self._last_due, now)
+            return (Delivery(self._last_due, data),)
         if fault.drop:
             return ()
-        exempt = self.spared > 0
-        self.spared = max(0, self.spared - 1)
+        exempt = self.exempt_messages > 0
+        self.exempt_messages = max(0, self.exempt_messages - 1)
         if not exempt and self.rng.random() < fault.loss:
             return ()
         cut = False
@@ -127,13 +130,15 @@
             data = data[: max(0, fault.cut_at - self._bytes)]
             self._bytes += len(data)
         if fault.rate > 0:
-            self._free = max(self._free, now) + len(data) / fault.rate
+            self._idle_at = max(self._idle_at, now) + len(data) / fault.rate
         due = now + fault.delay + (self.rng.uniform(0.0, fault.jitter) if fault.jitter else 0.0)
-        due = max(due, self._free, self._last)
+        due = max(due, self._idle_at, self._last_due)
         if not exempt and not cut and self.rng.random() < fault.reorder:
-            return (Passage(due + HOLD, data),)  # `_last` stays: those behind overtake
-        self._last = due
-        passage = Passage(due, data, cut)
+            return (
+                Delivery(due + REORDER_DELAY_S, data),
+            )  # `_last` is unchanged, so that later messages overtake
+        self._last_due = due
+        delivery = Delivery(due, data, cut)
         if not exempt and not cut and self.rng.random() < fault.duplicate:
-            return (passage, passage)
-        return (passage,)
+            return (delivery, delivery)
+        return (delivery,)
--- a/harepick/fleet/load.py
+++ b/harepick/fleet/load.py
@@ -1,7 +1,7 @@
-"""The load that a play offers: look-ups to each instance on the scenario's schedule, and their answers.
+"""Load generators: send look-ups to each instance at the scenario's rate, and collect the answers.
 
-Every look-up becomes one `lookup` line of the rig's history: which instance, when it was sent, how many
-answers came, and the first one's code and time.
+Every look-up becomes one `lookup` event of the rig's history: the instance, the time at which it was sent,
+the number of answers, and the response code and time of the first one.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import dns.name
 import dns.rdatatype
 
-from harepick.fleet.checks import ANSWER
+from harepick.fleet.checks import ANSWER_TIMEOUT_S
 from harepick.fleet.history import Recorder
 from harepick.fleet.ports import HOST
 from harepick.fleet.scenario import Load
@@ -29,14 +29,14 @@
     from harepick.fleet.readiness import Readiness
 
 SUFFIX = "e164.arpa."
-QUERIES = 512  # made beforehand for each instance, so that the schedule is kept
-DIGITS = 11  # of a called number
-TURN = 0.005  # seconds between two looks at the schedule
-DATAGRAM = 4096
+QUERY_COUNT = 512  # prepared for each instance and sent in rotation, as making them would slow the load down
+NUMBER_DIGITS = 11  # in a called number
+SEND_INTERVAL_S = 0.005  # between two rounds of sending
+MAX_DATAGRAM_BYTES = 4096
 
 
 def query_bytes(number: str) -> bytes:
-    """A NAPTR look-up of `+` and digits, without its two bytes of id."""
+    """The NAPTR query for a number (`+` and digits) in wire format, without its two bytes of id."""
     name = ".".join(reversed(number.lstrip("+"))) + "." + SUFFIX
     query = dns.message.make_query(dns.name.from_text(name), dns.rdatatype.NAPTR, use_edns=0)
     return query.to_wire()[2:]
@@ -53,18 +53,21 @@
 
 @dataclass(slots=True)
 class _Sent:
+    """A look-up that was sent; times in seconds, `at` on the monotonic clock."""
+
     at: float
     prefix: str
-    caller: str  # its address; empty if the system chose it
+    caller: str  # source address; empty if the system chose it
     instance: str
-    ready: bool  # whether that instance said so when it was asked last; True if nobody asks
+    ready: bool  # whether the instance was ready when last polled; True without polling
     answers: int = 0
     rcode: int = -1
     took: float = 0.0
 
 
 class LoadGenerator:
-    """Look-ups of one instance's callers; with a `readiness` they follow it to other instances."""
+    """Sends the look-ups of one instance's callers. Given a `readiness`, they use other instances while their
+    own is not ready."""
 
     def __init__(
         self,
@@ -76,7 +79,7 @@
         history: Recorder,
         readiness: Readiness | None = None,
     ) -> None:
-        """`ports`: where each instance takes look-ups, in the order of the places."""
+        """`ports`: DNS port of each instance by name; `place` is the index of `name` among them."""
         instances = len(ports)
         self.name = name
         self._readiness = readiness
@@ -85,57 +88,59 @@
         prefixes = [prefix for prefix, _ in load.numbers]
         weights = [weight for _, weight in load.numbers]
         self._queries: list[tuple[str, str, bytes]] = []  # prefix of the number, caller, query
-        self._socks = {caller: _socket(caller) for caller, _ in load.callers or (("", 1.0),)}
+        self._sockets = {caller: _socket(caller) for caller, _ in load.callers or (("", 1.0),)}
         shares = [weight for _, weight in load.callers] or [1.0]
-        for _ in range(QUERIES):
+        for _ in range(QUERY_COUNT):
             prefix = rng.choices(prefixes, weights)[0]
-            rest = "".join(rng.choice("0123456789") for _ in range(max(0, DIGITS + 1 - len(prefix))))
-            caller = rng.choices(list(self._socks), shares)[0]
-            self._queries.append((prefix, caller, query_bytes(prefix + rest)))
-        self._to = {name: (HOST, port) for name, port in ports.items()}
-        self._open: OrderedDict[int, _Sent] = OrderedDict()  # id -> look-up
+            digits = "".join(rng.choice("0123456789") for _ in range(max(0, NUMBER_DIGITS + 1 - len(prefix))))
+            caller = rng.choices(list(self._sockets), shares)[0]
+            self._queries.append((prefix, caller, query_bytes(prefix + digits)))
+        self._addresses = {name: (HOST, port) for name, port in ports.items()}
+        self._open: OrderedDict[int, _Sent] = OrderedDict()  # query id -> look-up, oldest first
         self._count = 0
         self.stopped = False
 
     async def run(self, start: float) -> None:
-        """Until cancelled; sends from `start` on, a time of the monotonic clock."""
-        with ExitStack() as socks:
-            for sock in self._socks.values():
-                socks.enter_context(sock)
+        """Sends until cancelled; the load begins at `start`, a time of the monotonic clock."""
+        with ExitStack() as stack:
+            for sock in self._sockets.values():
+                stack.enter_context(sock)
             async with anyio.create_task_group() as tasks:
-                for sock in self._socks.values():
-                    tasks.start_soon(self._hear, sock)
-                owed, last = 0.0, start
+                for sock in self._sockets.values():
+                    tasks.start_soon(self._receive, sock)
+                due_queries, last = 0.0, start
                 while True:
                     now = time.monotonic()
                     if not self.stopped:
-                        owed += self._load.at(now - start, self._place, self._instances) * (now - last)
-                        owed = min(owed, 50.0)  # after a stall of the rig no flood is made up for
+                        due_queries += self._load.at(now - start, self._place, self._instances) * (now - last)
+                        due_queries = min(
+                            due_queries, 50.0
+                        )  # after a stall of the rig the backlog is not sent as a burst
                     last = now
-                    while owed >= 1.0:
-                        owed -= 1.0
-                        self._ask()
-                    self._settle(now)
-                    await anyio.sleep(TURN)
-
-    def _ask(self) -> None:
-        ident = self._count & 0xFFFF
-        prefix, caller, query = self._queries[self._count % QUERIES]
-        data = ident.to_bytes(2, "big") + query
+                    while due_queries >= 1.0:
+                        due_queries -= 1.0
+                        self._send()
+                    self._record_due(now)
+                    await anyio.sleep(SEND_INTERVAL_S)
+
+    def _send(self) -> None:
+        query_id = self._count & 0xFFFF
+        prefix, caller, query = self._queries[self._count % QUERY_COUNT]
+        data = query_id.to_bytes(2, "big") + query
         self._count += 1
-        whom, ready = self.name, True
+        instance, ready = self.name, True
         if self._readiness:
-            whom, ready = self._readiness.choose(self.name, self._count)
-        self._open[ident] = _Sent(time.monotonic(), prefix, caller, whom, ready)
-        with suppress(OSError):  # nobody listens there for now
-            self._socks[caller].sendto(data, self._to[whom])
+            instance, ready = self._readiness.choose(self.name, self._count)
+        self._open[query_id] = _Sent(time.monotonic(), prefix, caller, instance, ready)
+        with suppress(OSError):  # the instance is down
+            self._sockets[caller].sendto(data, self._addresses[instance])
 
-    async def _hear(self, sock: socket.socket) -> None:
+    async def _receive(self, sock: socket.socket) -> None:
         while True:
             await anyio.wait_readable(sock)
-            with suppress(OSError):  # the port is closed for now, or nothing more is there
+            with suppress(OSError):  # the instance's port is closed, or nothing more to read
                 while True:
-                    data = sock.recv(DATAGRAM)
+                    data = sock.recv(MAX_DATAGRAM_BYTES)
                     sent = self._open.get(int.from_bytes(data[:2], "big"))
                     if sent is None:
                         continue
@@ -143,13 +148,13 @@
                     if sent.answers == 1:
                         sent.rcode, sent.took = data[3] & 15, time.monotonic() - sent.at
 
-    def _settle(self, now: float) -> None:
-        """Writes down the look-ups whose time is over."""
+    def _record_due(self, now: float) -> None:
+        """Records the look-ups whose answer time is over."""
         while self._open:
-            ident, sent = next(iter(self._open.items()))
-            if now - sent.at <= ANSWER:
+            query_id, sent = next(iter(self._open.items()))
+            if now - sent.at <= ANSWER_TIMEOUT_S:
                 return
-            del self._open[ident]
+            del self._open[query_id]
             self._history.note(
                 "lookup",
                 mono=sent.at,
@@ -164,7 +169,7 @@
             )
 
     async def finish(self) -> None:
-        """No more look-ups; returns once all that were sent are settled."""
+        """Stops sending; returns once all look-ups are recorded."""
         self.stopped = True
         while self._open:
-            await anyio.sleep(TURN)
+            await anyio.sleep(SEND_INTERVAL_S)
--- a/harepick/fleet/maintenance_rounds.py
+++ b/harepick/fleet/maintenance_rounds.py
@@ -1,6 +1,6 @@
-"""Upkeep beside a play: asks for machines to be taken out, works on each while it is out, and says when done.
+"""Maintenance during a run: requests it for machines, works on each while it is out, and reports it done.
 
-What an operator does with `harepick maint`, over the same port, for benchmarks and tests.
+Does for benchmarks and tests what an operator does with `harepick maint`, over the same port.
 """
 
 from __future__ import annotations
@@ -14,71 +14,76 @@
 from harepick.fleet.runner import ScenarioRunner
 from harepick.store.client import StoreClient, StoreError
 
-FINAL = ("refused", "no_machine", "bad_request", "invalid")
-TRY = 10.0  # seconds for one answer; then the same is asked again
-LOOK = 0.1  # seconds between two looks at the list
+FINAL_ERRORS = ("refused", "no_machine", "bad_request", "invalid")
+ATTEMPT_TIMEOUT_S = 10.0  # for one answer; then the request is repeated
+POLL_INTERVAL_S = 0.1  # between two requests for the list of orders
 
 
 @dataclass
 class MaintenanceRounds:
-    """`asked` and `done` count orders; `run` is a play's `beside`."""
+    """Rounds of maintenance; `run` is passed to `ScenarioRunner` as `beside`. `asked` and `done` count
+    orders."""
 
     machines: Sequence[str]  # `server:s0`, `controller:a`
-    work: float = 1.0  # seconds that each is out
-    begin: float = 1.0  # seconds after the play's
+    work: float = 1.0  # seconds of work on each machine
+    begin: float = 1.0  # seconds after the start of the run
     rounds: int = 1
     asked: int = 0
     done: int = 0
-    why: dict[str, str] = field(default_factory=dict)  # machine -> why its order waited, as last told
+    why: dict[str, str] = field(
+        default_factory=dict
+    )  # machine -> last reported reason for which its order waited
 
-    async def run(self, play: ScenarioRunner) -> None:
+    async def run(self, runner: ScenarioRunner) -> None:
+        """Runs all rounds, one after another."""
         await anyio.sleep(self.begin)
-        async with play.client() as client:
+        async with runner.client() as client:
             for _ in range(self.rounds):
-                await self._round(play, client)
+                await self._run_round(runner, client)
 
-    async def _round(self, play: ScenarioRunner, client: StoreClient) -> None:
+    async def _run_round(self, runner: ScenarioRunner, client: StoreClient) -> None:
         orders: dict[int, str] = {}
         for machine in self.machines:
-            found = await call_until_answered(
+            reply = await call_until_answered(
                 client, "maint_request", {"machine": machine, "reason": "upkeep"}
             )
-            orders[found["order"]] = machine
+            orders[reply["order"]] = machine
             self.asked += 1
         async with anyio.create_task_group() as tasks:
-            begun: set[int] = set()
-            while len(begun) < len(orders):
-                found = await call_until_answered(client, "maint_list", {})
-                for row in found["orders"]:
-                    number = row["order"]
+            started: set[int] = set()
+            while len(started) < len(orders):
+                reply = await call_until_answered(client, "maint_list", {})
+                for row in reply["orders"]:
+                    order = row["order"]
                     self.why[row["machine"]] = row["why"] or ""
-                    if number in orders and row["state"] == "out" and number not in begun:
-                        begun.add(number)
-                        tasks.start_soon(self._work, play, number, orders[number])
-                await anyio.sleep(LOOK)
+                    if order in orders and row["state"] == "out" and order not in started:
+                        started.add(order)
+                        tasks.start_soon(self._work, runner, order, orders[order])
+                await anyio.sleep(POLL_INTERVAL_S)
 
-    async def _work(self, play: ScenarioRunner, number: int, machine: str) -> None:
-        """A server is left alone for a while; a controller is restarted."""
+    async def _work(self, runner: ScenarioRunner, order: int, machine: str) -> None:
+        """Waits while a server is out, or restarts a controller; then reports the order done."""
         kind, _, name = machine.partition(":")
         if kind == "controller":
-            await play.apply_fault("stop", play.instances[name])
+            await runner.apply_fault("stop", runner.instances[name])
             await anyio.sleep(self.work)
-            await play.apply_fault("start", play.instances[name])
+            await runner.apply_fault("start", runner.instances[name])
         else:
             await anyio.sleep(self.work)
-        async with play.client() as client:
-            await call_until_answered(client, "maint_done", {"order": number})
+        async with runner.client() as client:
+            await call_until_answered(client, "maint_done", {"order": order})
         self.done += 1
 
 
 async def call_until_answered(client: StoreClient, method: str, arguments: dict[str, Any]) -> Any:
-    """The answer, however often it has to be asked; changes take effect once."""
+    """Calls a method until it is answered. A change is repeated under its session number, so that it takes
+    effect at most once. Raises `StoreError` if the request is refused."""
     while True:
         try:
-            return await client.call(method, arguments, TRY)
+            return await client.call(method, arguments, ATTEMPT_TIMEOUT_S)
         except StoreError as error:
-            if error.code in FINAL:
+            if error.code in FINAL_ERRORS:
                 raise
             if method != "maint_list":
                 client.repeat_last()
-            await anyio.sleep(LOOK)
+            await anyio.sleep(POLL_INTERVAL_S)
--- a/harepick/fleet/plot.py
+++ b/harepick/fleet/plot.py
@@ -1,4 +1,4 @@
-"""Draws a play: what left and was refused, revisions adopted, and the faults. Needs matplotlib."""
+"""Plots a run: set-ups sent, look-ups refused, revisions adopted, and the faults. Needs matplotlib."""
 
 from __future__ import annotations
 
@@ -11,48 +11,49 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot
 
-from harepick.fleet.checks import away
+from harepick.fleet.checks import downtimes
 from harepick.fleet.runner import Report
 
-BIN = 0.25  # seconds
+BIN_S = 0.25
 
 
 def _rates(times: list[float], end: float) -> tuple[list[float], list[float]]:
-    """Events a second, by bin."""
-    counts = Counter(int(t / BIN) for t in times if 0 <= t <= end)
-    bins = range(int(end / BIN) + 1)
-    return [n * BIN for n in bins], [counts[n] / BIN for n in bins]
+    """Event rates: the bins' start times, and events a second in each bin."""
+    counts = Counter(int(t / BIN_S) for t in times if 0 <= t <= end)
+    bins = range(int(end / BIN_S) + 1)
+    return [n * BIN_S for n in bins], [counts[n] / BIN_S for n in bins]
 
 
 def _link_spans(report: Report) -> list[tuple[str, float, float]]:
-    """Partitions and faults of links: what, from, to."""
+    """Partitions and link faults: name, start and end (monotonic seconds)."""
     spans: list[tuple[str, float, float]] = []
     since: dict[str, float] = {}
     last = max((event.mono for event in report.events), default=report.start)
 
-    def ended(what: str, at: float) -> None:
+    def end_span(what: str, at: float) -> None:
         if what in since:
             spans.append((what, since.pop(what), at))
 
     for event in report.events:
         match event.event:
             case "partition":
-                ended("partition", event.mono)
+                end_span("partition", event.mono)
                 since["partition"] = event.mono
             case "heal":
-                ended("partition", event.mono)
+                end_span("partition", event.mono)
             case "link":
                 link = event["link"]
-                ended(link, event.mono)
+                end_span(link, event.mono)
                 if event["fault"]:
                     since[link] = event.mono
     for what in list(since):
-        ended(what, last)
+        end_span(what, last)
     return spans
 
 
 def draw(report: Report, path: Path) -> None:
-    """Writes a PNG: set-ups that left by instance, look-ups refused, revisions, and the faults below."""
+    """Writes a PNG with set-ups sent by each instance, look-ups refused, revisions, and the faults at the
+    bottom."""
     start = report.start
     end = max((event.mono - start for event in report.events), default=1.0)
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(11, 8), height_ratios=(3, 1.5, 1.5))
@@ -85,7 +86,7 @@
     rows: list[tuple[str, float, float, str]] = []
     for what, since, until in _link_spans(report):
         rows.append((what, since - report.start, until - report.start, "tab:orange"))
-    for name, spans in away(report.events).items():
+    for name, spans in downtimes(report.events).items():
         for since, until in spans:
             rows.append((f"{name} away", since - report.start, min(end, until - report.start), "tab:red"))
     labels = sorted({what for what, *_ in rows})
--- a/harepick/fleet/ports.py
+++ b/harepick/fleet/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback, chosen and never fixed."""
+"""Random free ports on loopback for test instances."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from contextlib import suppress
 
 HOST = "127.0.0.1"
-BELOW_EPHEMERAL = range(20_000, 32_000)  # the system gives none of these to sockets without a port
+BELOW_EPHEMERAL = range(20_000, 32_000)  # the system assigns none of these to unbound sockets
 
 
 def free_port(host: str = HOST) -> int:
-    """A port that is free for TCP and UDP, below those that the system gives to sockets without one: it stays
-    free until the program that it is for has started."""
+    """A port that is free for TCP and UDP. It is below the ephemeral range, so that the system does not
+    assign it to another socket before the program that it is meant for has started."""
     while True:
         port = secrets.choice(BELOW_EPHEMERAL)
         with (
@@ -26,7 +26,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """So many, no two the same."""
+    """`count` different free ports."""
     ports: dict[int, None] = {}
     while len(ports) < count:
         ports[free_port()] = None
--- a/harepick/fleet/processes.py
+++ b/harepick/fleet/processes.py
@@ -1,6 +1,7 @@
-"""The rig's side of the instances: files, processes through the keeper, and what they have written.
+"""The instances of the program as the rig sees them: their files, processes, logs and histories.
 
-Owns the keeper's two pipes. An instance's file and folder outlive its processes.
+Processes are started through the supervisor (`supervisor.py`), whose two pipes are owned here. An instance's
+settings file and store folder outlive its processes.
 """
 
 from __future__ import annotations
@@ -24,55 +25,56 @@
 from harepick.store.settings import read_store
 
 ROOT = Path(__file__).parent.parent.parent
-STARTED = 5.0  # seconds for the keeper to answer
-SERVES = 20.0  # seconds for an instance to serve after its start
-STOPS = 10.0  # seconds from SIGTERM until an instance is killed
-LOOK = 0.02  # seconds between two looks at what a process has written
+START_TIMEOUT_S = 5.0  # for the supervisor to confirm a start
+SERVE_TIMEOUT_S = 20.0  # for an instance to serve after its start
+STOP_TIMEOUT_S = 10.0  # from SIGTERM until an instance is killed; also for the supervisor's own end
+POLL_INTERVAL_S = 0.02  # between two reads of a process's log
 
 
 class RigError(Exception):
-    """The rig itself can't go on: nothing is known about the fleet then."""
+    """The rig itself failed, so the run says nothing about the fleet."""
 
 
 class Tail:
-    """Lines of a file of JSON lines, as they are written."""
+    """Follows a file of JSON lines that another process writes."""
 
     def __init__(self, path: Path) -> None:
-        self._path, self._at = path, 0
+        self._path, self._offset = path, 0
 
     def new(self) -> list[dict[str, Any]]:
-        """What has come since the last call; lines that are no JSON are left out."""
+        """The complete lines written since the last call; lines that are not JSON objects are left out."""
         if not self._path.exists():
             return []
         with self._path.open("rb") as file:
-            file.seek(self._at)
+            file.seek(self._offset)
             data = file.read()
         whole = data[: data.rfind(b"\n") + 1]
-        self._at += len(whole)
+        self._offset += len(whole)
         return [orjson.loads(line) for line in whole.splitlines() if line.startswith(b"{")]
 
 
 class SupervisorClient:
-    """`supervisor.py` as a process: what it starts is gone as soon as this rig is, however it ends."""
+    """Runs `supervisor.py` as a process, which ends its processes when the rig ends, however that happens."""
 
     def __init__(self, ended: Callable[[str, int], None]) -> None:
-        """`ended` hears of each process that ended, with its exit code (negative: the signal)."""
-        self._ended = ended
+        """`ended` is called for each process that ended, with its exit code (negative: the signal)."""
+        self._on_ended = ended
         self._process: Process | None = None
         self._ids: dict[str, int] = {}
-        self._answers: dict[str, anyio.Event] = {}
+        self._start_confirmed: dict[str, anyio.Event] = {}
         self.log: Path | None = None
 
     @property
     def ids(self) -> dict[str, int]:
-        """Processes that run, by instance."""
+        """Ids of the running processes, by instance."""
         return dict(self._ids)
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Until cancelled; then all that it started is ended and waited for."""
-        words = [sys.executable, "-m", "harepick.fleet.supervisor"]
-        # A session of its own: a Ctrl-C at the terminal must not end it before it has cleaned up.
-        self._process = await anyio.open_process(words, cwd=ROOT, stderr=None, start_new_session=True)
+        """Runs until cancelled, then ends all processes and waits for the supervisor. Raises `RigError` if
+        the supervisor ends before."""
+        command = [sys.executable, "-m", "harepick.fleet.supervisor"]
+        # Its own session: a Ctrl-C at the terminal must not end the supervisor before it has cleaned up.
+        self._process = await anyio.open_process(command, cwd=ROOT, stderr=None, start_new_session=True)
         try:
             task_status.started()
             buffer = b""
@@ -80,67 +82,69 @@
             async for data in self._process.stdout:
                 *lines, buffer = (buffer + data).split(b"\n")
                 for line in lines:
-                    self._hear(orjson.loads(line))
-            raise RigError("the keeper of the processes has ended")
+                    self._handle(orjson.loads(line))
+            raise RigError("the process supervisor has ended")
         finally:
-            with anyio.CancelScope(shield=True), anyio.move_on_after(STOPS):
+            with anyio.CancelScope(shield=True), anyio.move_on_after(STOP_TIMEOUT_S):
                 assert self._process.stdin
                 await self._process.stdin.aclose()
                 await self._process.wait()
 
-    def _hear(self, line: dict[str, Any]) -> None:
+    def _handle(self, line: dict[str, Any]) -> None:
         if "started" in line:
             name = line["started"]
             if line["id"]:
                 self._ids[name] = line["id"]
-            if answer := self._answers.pop(name, None):
-                answer.set()
+            if confirmed := self._start_confirmed.pop(name, None):
+                confirmed.set()
         else:
             self._ids.pop(line["ended"], None)
-            self._ended(line["ended"], line["code"])
+            self._on_ended(line["ended"], line["code"])
 
-    async def _say(self, **line: object) -> None:
+    async def _send(self, **line: object) -> None:
         assert self._process and self._process.stdin
         await self._process.stdin.send(orjson.dumps(line) + b"\n")
 
     async def start(self, name: str, words: list[str], folder: Path, log: Path) -> int:
-        """Its process id. Raises `RigError` if it can't be started."""
-        answer = self._answers[name] = anyio.Event()
-        await self._say(start=name, words=words, folder=str(folder), log=str(log))
-        with anyio.move_on_after(STARTED):
-            await answer.wait()
+        """Starts an instance and returns its process id; raises `RigError` if it can't be started."""
+        confirmed = self._start_confirmed[name] = anyio.Event()
+        await self._send(start=name, words=words, folder=str(folder), log=str(log))
+        with anyio.move_on_after(START_TIMEOUT_S):
+            await confirmed.wait()
         if name not in self._ids:
             raise RigError(f"instance {name} could not be started: {' '.join(words)}")
         return self._ids[name]
 
     async def signal(self, name: str, number: int) -> None:
-        """To the process of that instance, by its id; nothing if it has ended."""
+        """Sends a signal to the process of an instance; does nothing if it has ended."""
         if name in self._ids:
-            await self._say(signal=name, number=number)
+            await self._send(signal=name, number=number)
 
 
 @dataclass
 class Instance:
-    """One instance of the program as the rig knows it; `state` is running, paused or down."""
+    """One instance of the program; `state` is running, paused or down."""
 
     name: str
-    folder: Path  # of the play; the instance's own is `data`
+    folder: Path  # of the run; the instance's own is `data`
     dns_port: int
     store_port: int
     relay_port: int = 0
-    ops_port: int = 0  # 0: it has no ops listener
+    ops_port: int = 0  # 0: no ops listener
     clock_rate: float = 1.0
     double: str = ""
     state: str = "down"
-    expected: bool = True  # whether its end is the rig's doing
+    expected: bool = True  # whether the rig ended it
     ended: anyio.Event = field(default_factory=anyio.Event)
 
     @property
     def path(self) -> Path:
+        """Its operator's file."""
         return self.folder / f"{self.name}.toml"
 
     @property
     def data(self) -> Path:
+        """The folder of its store replica."""
         return self.folder / self.name
 
     @property
@@ -153,14 +157,14 @@
 
     @property
     def words(self) -> list[str]:
-        """The command line: the program itself, unless a clock or a rule is bent."""
+        """The command line; through `harepick.fleet.child` for a clock rate or a double."""
         if self.clock_rate == 1.0 and not self.double:
             return [sys.executable, "-m", "harepick", "--operator", str(self.path)]
-        bent = ["--clock-rate", str(self.clock_rate)] + (["--double", self.double] if self.double else [])
-        return [sys.executable, "-m", "harepick.fleet.child", *bent, "--", "--operator", str(self.path)]
+        options = ["--clock-rate", str(self.clock_rate)] + (["--double", self.double] if self.double else [])
+        return [sys.executable, "-m", "harepick.fleet.child", *options, "--", "--operator", str(self.path)]
 
     def write(self, cluster: str, lease: float, members: dict[str, int]) -> None:
-        """Its operator's file; `members`: name -> the port that others reach it at."""
+        """Writes its operator's file. `lease` in seconds; `members`: name -> port that others connect to."""
         rows = "".join(
             f'[[store.member]]\nreplica = "{name}"\naddress = "{HOST}:{port}"\n'
             for name, port in members.items()
@@ -175,82 +179,83 @@
         )
 
     def prepare(self) -> None:
-        """Makes its folder if there is none; blocking."""
+        """Initializes its replica folder if there is none; blocking."""
         if not self.data.exists():
             settings = read_store(read_toml(str(self.path)))
             assert settings
             initialize_replica(settings)
 
-    async def start(self, keeper: SupervisorClient) -> None:
-        """Returns once its process runs; `serves` waits for more."""
+    async def start(self, supervisor: SupervisorClient) -> None:
+        """Returns once its process runs; `serves` waits until it serves."""
         await run_sync(self.prepare)
         self.expected, self.ended = False, anyio.Event()
-        await keeper.start(self.name, self.words, ROOT, self.log)
+        await supervisor.start(self.name, self.words, ROOT, self.log)
         self.state = "running"
 
-    async def serves(self, seen: Tail) -> bool:
-        """Waits until it says that it serves; False if it ended, or did not in time."""
-        with anyio.move_on_after(SERVES):
+    async def serves(self, log: Tail) -> bool:
+        """Waits until its log says that it serves; False if it ended before or did not serve in time."""
+        with anyio.move_on_after(SERVE_TIMEOUT_S):
             while not self.ended.is_set():
-                if any(line["event"] == "serving" for line in seen.new()):
+                if any(line["event"] == "serving" for line in log.new()):
                     return True
-                await anyio.sleep(LOOK)
+                await anyio.sleep(POLL_INTERVAL_S)
         return False
 
-    async def kill(self, keeper: SupervisorClient, number: int = signal.SIGKILL) -> None:
-        """Returns once it has ended; one that does not stop in time is killed."""
+    async def kill(self, supervisor: SupervisorClient, number: int = signal.SIGKILL) -> None:
+        """Sends a terminating signal and waits for the end; kills it if it does not end in time."""
         if self.state == "down":
             return
         self.expected = True
         if self.state == "paused" and number != signal.SIGKILL:
-            await keeper.signal(self.name, signal.SIGCONT)
-        await keeper.signal(self.name, number)
-        with anyio.move_on_after(STOPS):
+            await supervisor.signal(self.name, signal.SIGCONT)
+        await supervisor.signal(self.name, number)
+        with anyio.move_on_after(STOP_TIMEOUT_S):
             await self.ended.wait()
         if not self.ended.is_set():
-            await keeper.signal(self.name, signal.SIGKILL)
+            await supervisor.signal(self.name, signal.SIGKILL)
             await self.ended.wait()
         self.state = "down"
 
-    async def pause(self, keeper: SupervisorClient) -> None:
+    async def pause(self, supervisor: SupervisorClient) -> None:
         if self.state == "running":
-            await keeper.signal(self.name, signal.SIGSTOP)
+            await supervisor.signal(self.name, signal.SIGSTOP)
             self.state = "paused"
 
-    async def resume(self, keeper: SupervisorClient) -> None:
+    async def resume(self, supervisor: SupervisorClient) -> None:
         if self.state == "paused":
-            await keeper.signal(self.name, signal.SIGCONT)
+            await supervisor.signal(self.name, signal.SIGCONT)
             self.state = "running"
 
     def wipe(self) -> None:
-        """Its folder goes; it must be down."""
+        """Deletes its replica folder; it must be down."""
         assert self.state == "down", self.state
         shutil.rmtree(self.data, ignore_errors=True)
 
 
 def udp_owner(port: int, ids: dict[str, int]) -> str:
-    """The instance whose process holds that UDP port on loopback; empty if none does.
+    """The instance whose process owns a UDP port on loopback; empty if none does. `ids`: processes by
+    instance.
 
-    The relay sees a datagram's source port alone, and all instances send from one address."""
+    The relay sees only a datagram's source port, as all instances send from one address."""
     inodes = _udp_inodes(port)
-    for name, number in ids.items():
-        if inodes and _holds(number, inodes):
+    for name, process_id in ids.items():
+        if inodes and _has_open(process_id, inodes):
             return name
     return ""
 
 
 def _udp_inodes(port: int) -> set[str]:
-    found = set()
+    inodes = set()
     for line in Path("/proc/net/udp").read_text().splitlines()[1:]:
         fields = line.split()
         if int(fields[1].split(":")[1], 16) == port:
-            found.add(f"socket:[{fields[9]}]")
-    return found
+            inodes.add(f"socket:[{fields[9]}]")
+    return inodes
 
 
-def _holds(number: int, links: Collection[str]) -> bool:
+def _has_open(process_id: int, links: Collection[str]) -> bool:
     try:
-        for entry in Path(f"/proc/{number}/fd").iterdir():
+        for entry in Path(f"/proc/{process_id}/fd").iterdir():
             try:
                 if str(entry.readlink()) in links:
                     return True
--- a/harepick/fleet/supervisor.py
+++ b/harepick/fleet/supervisor.py
@@ -1,9 +1,9 @@
-"""The keeper: a small process that starts the rig's instances and ends each of them, however the rig ends.
+"""The process supervisor: starts the rig's instances, and ends all of them however the rig ends.
 
-Spoken to in JSON lines. In: `{"start": NAME, "words": [...], "folder": F, "log": PATH}`,
-`{"signal": NAME, "number": N}`. Out: `{"started": NAME, "id": PID}`, `{"ended": NAME, "code": C}`. When its
-standard input ends, which the kernel sees to also if the rig is killed, every process that it started is
-killed by its id, stopped ones too, and waited for.
+Its protocol is JSON lines. Input: `{"start": NAME, "words": [...], "folder": F, "log": PATH}`,
+`{"signal": NAME, "number": N}`. Output: `{"started": NAME, "id": PID}`, `{"ended": NAME, "code": C}`. When
+its standard input ends, which the kernel ensures even if the rig is killed, it kills every process that it
+started by its id, stopped ones too, and waits for them.
 
     python -m harepick.fleet.supervisor
 """
@@ -20,77 +20,79 @@
 
 import orjson
 
-READ = 65_536
-MAX_LINE = 1024 * 1024
-LAST_WAIT = 5.0  # seconds for a killed process to be gone
+READ_SIZE = 65_536
+MAX_LINE_BYTES = 1024 * 1024
+KILL_TIMEOUT_S = 5.0  # for a killed process to end
 
 
 class Supervisor:
-    """Owns the processes: the parent of each, so that an id is its own until it has been waited for."""
+    """The parent of all instances, so that a process id is not reused before the process was waited for."""
 
     def __init__(self) -> None:
         self._running: dict[str, subprocess.Popen[bytes]] = {}
 
     def serve(self) -> None:
-        """Until the end of standard input."""
-        wake, woken = os.pipe()
-        os.set_blocking(woken, False)
-        signal.set_wakeup_fd(woken)
+        """Handles commands until standard input ends, then kills all processes."""
+        wakeup_read, wakeup_write = os.pipe()
+        os.set_blocking(wakeup_write, False)
+        signal.set_wakeup_fd(wakeup_write)
         signal.signal(signal.SIGCHLD, lambda *_: None)
-        for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-            signal.signal(number, signal.SIG_IGN)  # the rig's end is the sign to go, not the terminal's
+        for ignored in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
+            signal.signal(
+                ignored, signal.SIG_IGN
+            )  # only the end of standard input ends the supervisor, not the terminal's signals
         buffer = b""
         try:
             while True:
-                ready, _, _ = select.select([0, wake], [], [])
-                if wake in ready:
-                    os.read(wake, READ)
+                ready, _, _ = select.select([0, wakeup_read], [], [])
+                if wakeup_read in ready:
+                    os.read(wakeup_read, READ_SIZE)
                     self._reap()
                 if 0 in ready:
-                    data = os.read(0, READ)
-                    if not data or len(buffer) > MAX_LINE:
+                    data = os.read(0, READ_SIZE)
+                    if not data or len(buffer) > MAX_LINE_BYTES:
                         return
                     *lines, buffer = (buffer + data).split(b"\n")
                     for line in lines:
-                        self._obey(orjson.loads(line))
+                        self._handle(orjson.loads(line))
         finally:
             self.end()
 
-    def _tell(self, **line: object) -> None:
+    def _send(self, **line: object) -> None:
         os.write(1, orjson.dumps(line) + b"\n")
 
-    def _obey(self, line: dict[str, Any]) -> None:
+    def _handle(self, line: dict[str, Any]) -> None:
         if "start" in line:
             name = line["start"]
             try:
-                with Path(line["log"]).open("ab") as out:
+                with Path(line["log"]).open("ab") as log:
                     process = subprocess.Popen(
                         line["words"],
                         cwd=line["folder"],
                         stdin=subprocess.DEVNULL,
-                        stdout=out,
-                        stderr=out,
+                        stdout=log,
+                        stderr=log,
                     )
             except OSError as error:
-                self._tell(started=name, id=0, error=str(error))
+                self._send(started=name, id=0, error=str(error))
                 return
             self._running[name] = process
-            self._tell(started=name, id=process.pid)
-        elif known := self._running.get(line["signal"]):
-            known.send_signal(line["number"])
+            self._send(started=name, id=process.pid)
+        elif running := self._running.get(line["signal"]):
+            running.send_signal(line["number"])
 
     def _reap(self) -> None:
         for name, process in list(self._running.items()):
             if process.poll() is not None:
                 del self._running[name]
-                self._tell(ended=name, code=process.returncode)
+                self._send(ended=name, code=process.returncode)
 
     def end(self) -> None:
-        """Kills what still runs."""
+        """Kills all running processes and waits for them."""
         for process in self._running.values():
             process.kill()
         for process in self._running.values():
-            process.wait(LAST_WAIT)
+            process.wait(KILL_TIMEOUT_S)
         self._running.clear()
 
 
@@ -98,4 +100,4 @@
     try:
         Supervisor().serve()
     except BrokenPipeError:
-        sys.exit(0)  # the rig is gone; all that ran was ended on the way here
+        sys.exit(0)  # the rig has ended; `serve` has killed all processes
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -1,4 +1,8 @@
-"""The rig itself on real sockets and real processes: the relay, the keeper, and plays of real instances."""
+"""The rig on real sockets and processes: the relay, the supervisor, and scenarios run with real instances.
+
+Most scenarios run twice: with the program as it is, and with one rule broken by a double (`fleet/child.py`),
+which shows that the checks find the violation.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 from harepick.fleet.maintenance_rounds import MaintenanceRounds, call_until_answered
 from harepick.fleet.ports import HOST
 from harepick.fleet.processes import ROOT, udp_owner
-from harepick.fleet.relay import Relay, RelayError, on_loopback, store_speaker
+from harepick.fleet.relay import Relay, RelayError, on_loopback, store_sender
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario, read_scenario
 from harepick.store.wire import LENGTH, Hello, frame
@@ -37,8 +41,8 @@
 
 
 @asynccontextmanager
-async def echoing() -> AsyncIterator[tuple[Network, Relay, int]]:
-    """A relay, and the port of a server that gives back what it gets."""
+async def relay_with_echo() -> AsyncIterator[tuple[Network, Relay, int]]:
+    """A relay, and the port of a server that echoes what it receives."""
     network = Network()
     relay = Relay(network, 1)
 
@@ -56,7 +60,9 @@
         tasks.cancel_scope.cancel()
 
 
-def play_it(work: Callable[[], Awaitable[None]]) -> None:
+def run_bounded(work: Callable[[], Awaitable[None]]) -> None:
+    """Runs `work` for at most 20 seconds."""
+
     async def bounded() -> None:
         with anyio.fail_after(20):
             await work()
@@ -64,7 +70,8 @@
     anyio.run(bounded)
 
 
-async def heard(stream: SocketStream, count: int, within: float = 5.0) -> bytes:
+async def receive(stream: SocketStream, count: int, within: float = 5.0) -> bytes:
+    """What arrives within so many seconds, until `count` bytes are there."""
     data = b""
     with anyio.move_on_after(within):
         while len(data) < count:
@@ -72,74 +79,87 @@
     return data
 
 
-def test_the_relay_knows_who_speaks_and_cuts_that_link_one_way() -> None:
+def test_the_relay_identifies_the_sender_and_cuts_one_direction_only() -> None:
+    """After the fault is cleared the stream must go on with a whole frame, not with part of one."""
+
     async def work() -> None:
-        async with echoing() as (network, relay, to):
-            port = await relay.port("b", to, store_speaker)
+        async with relay_with_echo() as (network, relay, to):
+            port = await relay.port("b", to, store_sender)
             async with await anyio.connect_tcp(HOST, port) as a:
                 await a.send(HELLO + MESSAGE)
-                assert await heard(a, len(HELLO + MESSAGE)) == HELLO + MESSAGE
+                assert await receive(a, len(HELLO + MESSAGE)) == HELLO + MESSAGE
                 network.set("b", "a", Fault(drop=True))
                 relay.changed()
                 await a.send(MESSAGE)
-                assert await heard(a, 1, 0.3) == b""
+                assert await receive(a, 1, 0.3) == b""
                 network.set("b", "a", Fault())
                 relay.changed()
                 await a.send(MESSAGE)
-                assert await heard(a, len(MESSAGE)) == MESSAGE, "frames come whole after a heal"
+                assert await receive(a, len(MESSAGE)) == MESSAGE, (
+                    "the first frame after the fault was not whole"
+                )
 
-    play_it(work)
+    run_bounded(work)
 
 
-def test_the_end_of_a_connection_waits_as_long_as_its_link_is_cut() -> None:
+def test_the_end_of_a_connection_is_held_back_while_its_link_is_cut() -> None:
+    """If a close came through a cut link, the far side would learn that its peer is gone."""
+
     async def work() -> None:
-        async with echoing() as (network, relay, to):
-            port = await relay.port("b", to, store_speaker)
+        async with relay_with_echo() as (network, relay, to):
+            port = await relay.port("b", to, store_sender)
             a = await anyio.connect_tcp(HOST, port)
             await a.send(HELLO)
-            await heard(a, len(HELLO))
+            await receive(a, len(HELLO))
             network.partition([["a"], ["b"]])
             relay.changed()
             before = relay.figures.connections
             await a.aclose()
             await anyio.sleep(0.2)
-            async with await anyio.connect_tcp(HOST, port) as again:  # opens, and hears nothing
+            async with await anyio.connect_tcp(HOST, port) as again:  # opens, but receives nothing
                 await again.send(HELLO)
-                assert await heard(again, 1, 0.2) == b""
+                assert await receive(again, 1, 0.2) == b""
                 network.heal()
                 relay.changed()
             assert relay.figures.connections == before + 1
 
-    play_it(work)
+    run_bounded(work)
+
 
+def test_a_slow_link_does_not_delay_other_links() -> None:
+    """A queue shared by all links would let one slow link delay the others."""
 
-def test_a_slow_link_holds_up_nobody_else() -> None:
     async def work() -> None:
-        async with echoing() as (network, relay, to):
-            slow, quick = await relay.port("b", to, "x"), await relay.port("b", to, "y")
+        async with relay_with_echo() as (network, relay, to):
+            slow, fast = await relay.port("b", to, "x"), await relay.port("b", to, "y")
             network.set("x", "b", Fault(rate=1000.0))
-            async with await anyio.connect_tcp(HOST, slow) as x, await anyio.connect_tcp(HOST, quick) as y:
-                for _ in range(100):  # until its speaker is held up; the kernel's buffers may hold tens of MB
-                    with anyio.move_on_after(1.0) as held:
-                        await x.send(frame(b"z" * 3_000_000))
-                    if held.cancelled_caught:
+            async with (
+                await anyio.connect_tcp(HOST, slow) as slow_client,
+                await anyio.connect_tcp(HOST, fast) as fast_client,
+            ):
+                for _ in range(100):  # until the sender is held up; the kernel's buffers may hold tens of MB
+                    with anyio.move_on_after(1.0) as send_scope:
+                        await slow_client.send(frame(b"z" * 3_000_000))
+                    if send_scope.cancelled_caught:
                         break
-                assert held.cancelled_caught
+                assert send_scope.cancelled_caught
                 times = []
                 for _ in range(50):
                     began = time.monotonic()
-                    await y.send(MESSAGE)
-                    assert await heard(y, len(MESSAGE)) == MESSAGE
+                    await fast_client.send(MESSAGE)
+                    assert await receive(fast_client, len(MESSAGE)) == MESSAGE
                     times.append(time.monotonic() - began)
                 assert sorted(times)[25] < 0.2
 
-    play_it(work)
+    run_bounded(work)
 
 
-def test_a_connection_breaks_at_its_byte_and_a_stranger_s_is_closed() -> None:
+def test_a_connection_is_reset_at_the_set_byte_and_an_unidentified_one_is_closed() -> None:
+    """Covers `cut_at`, and a connection whose first message is not a hello."""
+
     async def work() -> None:
-        async with echoing() as (network, relay, to):
-            port = await relay.port("b", to, store_speaker)
+        async with relay_with_echo() as (network, relay, to):
+            port = await relay.port("b", to, store_sender)
             network.set("a", "b", Fault(cut_at=len(HELLO) + 3))
             async with await anyio.connect_tcp(HOST, port) as a:
                 await a.send(HELLO + MESSAGE)
@@ -152,12 +172,14 @@
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     await stranger.receive()
 
-    play_it(work)
+    run_bounded(work)
+
 
+def test_datagrams_are_relayed_and_answers_return_to_their_source() -> None:
+    """All clients share one address, so the relay must tell them apart by port."""
 
-def test_datagrams_go_through_and_back_to_their_own_source() -> None:
     async def work() -> None:
-        async with echoing() as (network, relay, _):
+        async with relay_with_echo() as (network, relay, _):
             server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             server.bind((HOST, 0))
             server.settimeout(5)
@@ -172,31 +194,33 @@
             for client in clients:
                 client.sendto(client.getsockname()[1].to_bytes(2, "big"), (HOST, port))
             data, peer = await anyio.to_thread.run_sync(lambda: server.recvfrom(100))
-            assert int.from_bytes(data, "big") == clients[0].getsockname()[1], "b's was to be dropped"
+            assert int.from_bytes(data, "big") == clients[0].getsockname()[1], "b's datagram was not dropped"
             server.sendto(b"answer", peer)
             assert await anyio.to_thread.run_sync(lambda: clients[0].recv(100)) == b"answer"
             assert udp_owner(clients[0].getsockname()[1], {"me": os.getpid()}) == "me"
             for sock in (server, *clients):
                 sock.close()
 
-    play_it(work)
+    run_bounded(work)
 
 
-def test_the_relay_stays_on_loopback() -> None:
+def test_the_relay_refuses_addresses_beyond_loopback() -> None:
+    """Faults must never be applied to traffic that leaves the machine."""
     with pytest.raises(RelayError, match="loopback"):
         on_loopback("192.0.2.1")
 
 
-def gone(number: int) -> bool:
+def has_ended(process_id: int) -> bool:
+    """Whether a process has ended; zombies count as ended."""
     try:
-        state = Path(f"/proc/{number}/stat").read_text().rsplit(")", 1)[1].split()[0]
+        state = Path(f"/proc/{process_id}/stat").read_text().rsplit(")", 1)[1].split()[0]
     except OSError:
         return True
     return state == "Z"
 
 
 def test_a_killed_rig_leaves_no_process_behind(tmp_path: Path) -> None:
-    """The rig is a process of its own here, killed while its instances run, one of them stopped."""
+    """The rig runs as a process and is killed while its instances run, one of them stopped by a signal."""
     path = tmp_path / "long.toml"
     path.write_text('seconds = 60\n[[fault]]\nkind = "pause"\nwhom = "b"\nat = 0.2\nfor_s = 50\n')
     folder = tmp_path / "play"
@@ -214,13 +238,14 @@
         for line in (folder / f"{name}.jsonl").read_bytes().splitlines()
         if b'"began"' in line
     ]
-    assert len(ids) == 3 and not any(gone(number) for number in ids)
+    assert len(ids) == 3 and not any(has_ended(number) for number in ids)
     rig.send_signal(signal.SIGKILL)
     rig.wait()
-    until(lambda: all(gone(number) for number in ids), 15.0, f"the end of {ids}")
+    until(lambda: all(has_ended(number) for number in ids), 15.0, f"the end of {ids}")
 
 
-def test_a_faulty_scenario_starts_nothing_and_names_its_key(tmp_path: Path) -> None:
+def test_an_invalid_scenario_starts_nothing_and_names_its_key(tmp_path: Path) -> None:
+    """The command must fail before it creates its folder or any process."""
     path = tmp_path / "bad.toml"
     path.write_text('[[fault]]\nkind = "kill"\nwhom = "nobody"\nat = 1\nfor_s = 1\n')
     words = [sys.executable, "-m", "harepick.cli.main", "fleet", "play", str(path)]
@@ -231,7 +256,7 @@
     assert not (tmp_path / "play").exists()
 
 
-CUT = """
+ONE_WAY_CUT = """
 instances = 3
 servers = 2
 lease_ms = 600
@@ -258,25 +283,29 @@
 """
 
 
-def play(folder: Path, text: str, seed: int = 1, upkeep: MaintenanceRounds | None = None) -> Report:
+def run_scenario(
+    folder: Path, text: str, seed: int = 1, maintenance: MaintenanceRounds | None = None
+) -> Report:
     scenario = make_scenario(tomllib.loads(text), "test")
-    beside = upkeep.run if upkeep else None
+    beside = maintenance.run if maintenance else None
     return anyio.run(ScenarioRunner(scenario, seed, folder, beside=beside).run)
 
 
-def fails(report: Report) -> dict[str, Any]:
+def violated(report: Report) -> dict[str, Any]:
     return {name: count for name, count in report.violations.items() if count}
 
 
 @pytest.mark.fleet
-def test_three_instances_one_cut_off_one_way_and_healed(tmp_path: Path) -> None:
-    report = play(tmp_path, CUT)
+def test_no_check_fails_with_one_of_three_instances_cut_off_one_way(tmp_path: Path) -> None:
+    """The instance that hears nothing must stop serving when its lease ends, and serve again after the
+    cut."""
+    report = run_scenario(tmp_path, ONE_WAY_CUT)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
     assert line["changes_acked"] >= 5 and line["arrived"] > 50 and line["relay_dropped"] > 0
-    assert line["refused"] > 20, "the one that was cut off refused nothing: the cut was none"
-    assert not fails(report) and line["arrived"] == line["left"]
-    # The histories alone tell the same.
+    assert line["refused"] > 20, "the instance that was cut off refused nothing: the cut had no effect"
+    assert not violated(report) and line["arrived"] == line["left"]
+    # The histories that were kept give the same result.
     _, counts, _ = run_checks(
         merge(sorted(tmp_path.glob("*.jsonl"))), {name: {} for name in report.violations}
     )
@@ -284,21 +313,23 @@
 
 
 @pytest.mark.fleet
-def test_its_twin_with_the_lease_ignored_is_found_out(tmp_path: Path) -> None:
+def test_the_checks_find_an_instance_that_ignores_its_lease(tmp_path: Path) -> None:
+    """The same scenario with the lease rule broken at c: it goes on under a revision that has been
+    replaced."""
     assert "stale-lease" in child.DOUBLES
-    report = play(tmp_path, CUT + '\n[double]\nc = "stale-lease"\n')
+    report = run_scenario(tmp_path, ONE_WAY_CUT + '\n[double]\nc = "stale-lease"\n')
     assert not report.ok and not report.error
-    found = fails(report)
+    found = violated(report)
     assert found.keys() == {"no_stale_act", "no_stale_arrival"}, found
     violation = next(v for v in report.told if v.check == "no_stale_act")
     assert [e.event for e in violation.stretch] == ["adopted", "acked", "left"]
     assert violation.stretch[-1].name == "c"
 
 
-# One instance hears nothing any more, right before a server is asked out: it may act for a lease yet.
-# The lease is long: the one that is cut off goes on under it well after the others have moved on, and the
-# leader knows whose leases run by the time of the cut.
-DRAIN = """
+# One instance stops receiving right before maintenance of a server is requested; its lease still runs then.
+# The lease is long, so that the instance acts under it well after the others have changed over, and the
+# leader knows by the time of the cut whose leases run.
+SERVER_OUT_DURING_CUT = """
 instances = 3
 servers = 2
 lease_ms = 2500
@@ -321,36 +352,41 @@
 complete = {}
 no_crash = {}
 """
-BOTH = ("server:s0", "server:s1")
+BOTH_SERVERS = ("server:s0", "server:s1")
 
 
 @pytest.mark.fleet
 def test_a_server_goes_out_while_one_instance_is_cut_off_one_way(tmp_path: Path) -> None:
-    upkeep = MaintenanceRounds(BOTH, work=0.5, begin=4.05)
-    report = play(tmp_path, DRAIN, upkeep=upkeep)
+    """Nothing may be sent to a server that is out, by an instance that has not heard of it either."""
+    maintenance = MaintenanceRounds(BOTH_SERVERS, work=0.5, begin=4.05)
+    report = run_scenario(tmp_path, SERVER_OUT_DURING_CUT, maintenance=maintenance)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
-    assert upkeep.asked == upkeep.done == 2 and line["most_out_at_once"] == 1
+    assert maintenance.asked == maintenance.done == 2 and line["most_out_at_once"] == 1
     assert line["fresh_calls_to_out_servers"] == line["stale_orders"] == 0 and line["served"] > 100
     told = {(e["order"], e["state"]) for e in report.events if e.event == "order"}
     assert told >= {(1, "out"), (1, "back"), (2, "out"), (2, "back")}
 
 
 @pytest.mark.fleet
-def test_its_twin_without_the_confirmation_is_found_out(tmp_path: Path) -> None:
+def test_the_checks_find_a_server_taken_out_without_confirmation(tmp_path: Path) -> None:
+    """The same scenario with the confirmation skipped: the instance that was cut off still sends to the
+    server."""
     doubles = "".join(f'{name} = "skip-confirmation"\n' for name in "abc")
-    report = play(
-        tmp_path, DRAIN + "[double]\n" + doubles, upkeep=MaintenanceRounds(BOTH, work=0.5, begin=4.05)
+    report = run_scenario(
+        tmp_path,
+        SERVER_OUT_DURING_CUT + "[double]\n" + doubles,
+        maintenance=MaintenanceRounds(BOTH_SERVERS, work=0.5, begin=4.05),
     )
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"no_fresh_to_out"}, fails(report)
+    assert violated(report).keys() == {"no_fresh_to_out"}, violated(report)
     late = [v.stretch[-1] for v in report.told if v.stretch[-1].event == "left"]
     (cut,) = {e["link"] for e in report.events if e.event == "link"}
     assert late and {f"*>{event.name}" for event in late} == {cut}
 
 
-# Callers follow readiness; one server fails for good while both are asked out, and the plan changes.
-HANDED = """
+# Callers follow readiness. A server fails while it and others are under maintenance, and the settings change.
+HANDOVER = """
 instances = 3
 servers = 3
 lease_ms = 1000
@@ -380,38 +416,40 @@
 complete = {}
 no_crash = {}
 """
-ASKED = ("controller:b", "server:s1", "server:s0", "controller:a")
+MACHINES = ("controller:b", "server:s1", "server:s0", "controller:a")
 
 
 @pytest.mark.fleet
-def test_controllers_hand_their_callers_over_while_a_server_fails_and_the_plan_changes(
+def test_controllers_hand_over_their_callers_while_a_server_fails_and_settings_change(
     tmp_path: Path,
 ) -> None:
-    upkeep = MaintenanceRounds(ASKED, work=0.5, begin=1.0)
-    report = play(tmp_path, HANDED, upkeep=upkeep)
+    """A controller that stops before its callers have moved refuses them or leaves them without an answer."""
+    maintenance = MaintenanceRounds(MACHINES, work=0.5, begin=1.0)
+    report = run_scenario(tmp_path, HANDOVER, maintenance=maintenance)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
-    assert upkeep.asked == upkeep.done == 4 and line["controllers_taken_out"] == 2
+    assert maintenance.asked == maintenance.done == 4 and line["controllers_taken_out"] == 2
     assert line["handovers"] == 2 and line["lookups_moved"] > 50 and line["plans"] == 3
-    # Nobody was turned away for it: what was refused met the server that had failed.
+    # No caller was refused because of a hand-over: what was refused had reached the failed server.
     stages = [(e.name, e["stage"]) for e in report.events if e.event == "handover"]
     for name in "ab":
         assert [s for n, s in stages if n == name][:3] == ["handing_over", "closed", "out"]
 
 
 @pytest.mark.fleet
-def test_its_twin_that_drops_its_callers_is_found_out(tmp_path: Path) -> None:
+def test_the_checks_find_a_controller_that_drops_its_callers(tmp_path: Path) -> None:
+    """The same scenario without faults, with the hand-over skipped: callers are refused."""
     doubles = "".join(f'{name} = "skip-handover"\n' for name in "abc")
-    calm = HANDED[: HANDED.index("[[fault]]")] + HANDED[HANDED.index("[checks]") :]
-    report = play(
-        tmp_path, calm + "[double]\n" + doubles, upkeep=MaintenanceRounds(ASKED, work=0.5, begin=1.0)
+    calm = HANDOVER[: HANDOVER.index("[[fault]]")] + HANDOVER[HANDOVER.index("[checks]") :]
+    report = run_scenario(
+        tmp_path, calm + "[double]\n" + doubles, maintenance=MaintenanceRounds(MACHINES, work=0.5, begin=1.0)
     )
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"handover"}, fails(report)
+    assert violated(report).keys() == {"handover"}, violated(report)
 
 
-# Most of the demand, and so of the limit, is at the one that is cut off from the others.
-LIMITED = """
+# Most of the demand, and so of the limit, is at the instance that is cut off from the others.
+LIMIT = """
 instances = 3
 servers = 2
 lease_ms = 600
@@ -436,27 +474,29 @@
 
 @pytest.mark.fleet
 def test_a_limit_holds_over_all_instances_with_one_cut_off(tmp_path: Path) -> None:
-    report = play(tmp_path, LIMITED)
+    """The instance that is cut off must stop using its share before the others get it."""
+    report = run_scenario(tmp_path, LIMIT)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch][:3]) for v in report.told])
     admitted = [e for e in report.events if e.event == "admitted"]
     before = [e for e in admitted if 1.5 <= e.mono - report.start < 3.5]
     during = [e for e in admitted if 5.0 <= e.mono - report.start < 7.0]
     assert 40 <= len(before) <= 78 and sum(e.name == "c" for e in before) > len(before) / 2
-    # Its share has come back to the others, and it spends nothing.
+    # The others have its share by then, and it admits nothing.
     assert len(during) >= 30 and {e.name for e in during} == {"a", "b"}
 
 
 @pytest.mark.fleet
-def test_its_twin_that_spends_past_its_lease_is_found_out(tmp_path: Path) -> None:
-    report = play(tmp_path, LIMITED + "[double]\nc = 'stale-lease'\n")
+def test_the_checks_find_an_instance_that_uses_its_share_beyond_its_lease(tmp_path: Path) -> None:
+    """The same scenario with the lease rule broken at c: its share is used twice."""
+    report = run_scenario(tmp_path, LIMIT + "[double]\nc = 'stale-lease'\n")
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"admissions"}, fails(report)
+    assert violated(report).keys() == {"admissions"}, violated(report)
     assert {e.name for v in report.told for e in v.stretch} == {"a", "b", "c"}
 
 
-# Each caller has the limit for itself; one wants far more, at all instances, and one is cut off with it.
-BY_CALLER = """
+# The limit applies to each caller. One caller wants far more, at all instances, and one instance is cut off.
+LIMIT_BY_CALLER = """
 instances = 3
 servers = 2
 lease_ms = 600
@@ -481,29 +521,32 @@
 
 
 @pytest.mark.fleet
-def test_each_caller_has_a_limit_for_itself_over_all_instances(tmp_path: Path) -> None:
-    report = play(tmp_path, BY_CALLER)
+def test_a_limit_by_caller_holds_over_all_instances(tmp_path: Path) -> None:
+    """One caller with too many calls must be limited over all instances, without an effect on other
+    callers."""
+    report = run_scenario(tmp_path, LIMIT_BY_CALLER)
     assert report.ok, (report.line(), [v.why for v in report.told][:3])
     admitted = [e for e in report.events if e.event == "admitted" and 3.0 <= e.mono - report.start < 5.0]
     greedy = [e for e in admitted if e["limit"] == "desk@127.0.1.1"]
-    assert 20 <= len(greedy) <= 46, "it has its limit, wherever its calls come in"
+    assert 20 <= len(greedy) <= 46, "the admitted calls of all instances together don't match the limit"
     light = [
         e
         for e in report.events
         if e.event == "lookup" and e["caller"] != "127.0.1.1" and 3.0 <= e.mono - report.start < 5.0
     ]
-    assert light and all(e["rcode"] == 0 for e in light), "others are not held back by it"
+    assert light and all(e["rcode"] == 0 for e in light), "calls of other callers were refused"
 
 
 @pytest.mark.fleet
-def test_its_twin_that_spends_more_than_a_caller_s_own_is_found_out(tmp_path: Path) -> None:
-    report = play(tmp_path, BY_CALLER + "[double]\na = 'borrow'\n")
+def test_the_checks_find_an_instance_that_exceeds_a_limit_by_caller(tmp_path: Path) -> None:
+    """The same scenario with an instance (a) that admits calls without a token."""
+    report = run_scenario(tmp_path, LIMIT_BY_CALLER + "[double]\na = 'borrow'\n")
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"admissions_by_caller"}, fails(report)
+    assert violated(report).keys() == {"admissions_by_caller"}, violated(report)
 
 
-# Only the link from a to s0 is broken: a finds out, and the others honour it.
-JUDGED = """
+# Only the link from a to s0 is broken: a reports the failure, and all instances follow the verdict.
+VERDICT = """
 instances = 3
 servers = 2
 relay_servers = true
@@ -528,8 +571,9 @@
 
 
 @pytest.mark.fleet
-def test_what_one_instance_finds_out_of_a_server_all_honour(tmp_path: Path) -> None:
-    report = play(tmp_path, JUDGED)
+def test_all_instances_follow_one_instance_s_verdict_on_a_server(tmp_path: Path) -> None:
+    """Until the verdict expires no instance may send to s0, though only a's link to it is broken."""
+    report = run_scenario(tmp_path, VERDICT)
     assert report.ok, report.line()
     assert report.figures["verdicts"] >= 1
     judging = [e for e in report.events if e.event == "judging"]
@@ -539,10 +583,10 @@
     assert len(left) > 60 and all(str(e["server"]).startswith("s1@") for e in left)
     assert {e.name for e in left} == {"a", "b", "c"}
     after = [e for e in report.events if e.event == "left" and str(e["server"]).startswith("s0@")]
-    assert after[-1].mono > judging[-1].mono + 3.0, "it never came back after the verdict's time"
+    assert after[-1].mono > judging[-1].mono + 3.0, "s0 was not used again after the verdict expired"
 
 
-GAPPED = """
+GAP = """
 instances = 3
 servers = 2
 lease_ms = 600
@@ -566,7 +610,8 @@
 
 @pytest.mark.fleet
 def test_one_call_a_slot_passes_a_gap_over_all_instances(tmp_path: Path) -> None:
-    report = play(tmp_path, GAPPED)
+    """Also while an instance is killed and the slots that it owned are allocated anew."""
+    report = run_scenario(tmp_path, GAP)
     line = report.line()
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
     passed = [e for e in report.events if e.event == "passed"]
@@ -574,28 +619,29 @@
 
 
 @pytest.mark.fleet
-def test_its_twin_that_takes_turns_of_others_is_found_out(tmp_path: Path) -> None:
-    report = play(tmp_path, GAPPED + "[double]\nb = 'borrow'\n")
+def test_the_checks_find_an_instance_that_uses_slots_of_others(tmp_path: Path) -> None:
+    """The same scenario with an instance (b) that lets calls pass in every slot."""
+    report = run_scenario(tmp_path, GAP + "[double]\nb = 'borrow'\n")
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"one_pass_a_slot"}, fails(report)
+    assert violated(report).keys() == {"one_pass_a_slot"}, violated(report)
     assert all("b" in {e.name for e in v.stretch} for v in report.told)
 
 
 @pytest.mark.fleet
 def test_clocks_further_apart_than_the_fence_allows_are_found_out(tmp_path: Path) -> None:
-    """The rig's clock rates reach the program: its own figure of what it may stand is 10%."""
+    """The rig's clock rates take effect in the program, whose leases tolerate clock rates 10% apart."""
     rates = "[clock_rate]\na = 2.0\nb = 2.0\nc = 0.5\n"
-    text = CUT.replace("lease_ms = 600", "lease_ms = 2000").replace("[checks]", rates + "[checks]")
+    text = ONE_WAY_CUT.replace("lease_ms = 600", "lease_ms = 2000").replace("[checks]", rates + "[checks]")
     cut = 'kind = "link"\nfrom = "*"\nto = "c"\ndrop = true\n'
     assert cut in text
-    # Both ways, so that the others elect another in time if c led.
-    report = play(tmp_path, text.replace(cut, 'kind = "partition"\ngroups = "{a, b} | {c}"\n'))
+    # Both directions, so that the others elect a new leader in time if c led.
+    report = run_scenario(tmp_path, text.replace(cut, 'kind = "partition"\ngroups = "{a, b} | {c}"\n'))
     assert not report.error
-    assert fails(report).keys() == {"no_stale_act", "no_stale_arrival"}, fails(report)
+    assert violated(report).keys() == {"no_stale_act", "no_stale_arrival"}, violated(report)
 
 
-# Demand moves from a to c, and a is killed with calls of its own under way at the server.
-UNDER_WAY = """
+# The demand moves from a to c, and a is killed with calls under way at the server.
+CONCURRENCY_LIMIT = """
 instances = 3
 servers = 2
 answer_ms = 800
@@ -621,26 +667,29 @@
 
 
 @pytest.mark.fleet
-def test_calls_under_way_at_a_server_stay_within_their_limit_over_all_instances(tmp_path: Path) -> None:
-    report = play(tmp_path, UNDER_WAY)
+def test_a_concurrency_limit_of_a_server_holds_over_all_instances(tmp_path: Path) -> None:
+    """Neither a shift of the demand nor the end of an instance with calls under way may exceed the limit."""
+    report = run_scenario(tmp_path, CONCURRENCY_LIMIT)
     line = report.line()
     assert report.ok, (line, [v.why for v in report.told][:3])
-    assert line["most_under_way"] == 6, "the limit was never come to"
-    # What the limit keeps from s0 goes to s1.
+    assert line["most_under_way"] == 6, "the limit was never reached"
+    # Calls above the limit of s0 go to s1.
     came = [e["server"] for e in report.events if e.event == "arrived"]
     assert came.count("s1") > came.count("s0") > 30
 
 
 @pytest.mark.fleet
-def test_its_twin_that_takes_more_room_than_its_own_is_found_out(tmp_path: Path) -> None:
-    report = play(tmp_path, UNDER_WAY + "[double]\na = 'borrow'\n")
+def test_the_checks_find_an_instance_that_exceeds_its_share_of_a_concurrency_limit(tmp_path: Path) -> None:
+    """The same scenario with an instance (a) that ignores its share."""
+    report = run_scenario(tmp_path, CONCURRENCY_LIMIT + "[double]\na = 'borrow'\n")
     assert not report.ok and not report.error
-    assert fails(report).keys() == {"concurrency"}, fails(report)
+    assert violated(report).keys() == {"concurrency"}, violated(report)
 
 
 @pytest.mark.fleet
 def test_an_instance_that_lost_its_folder_acts_on_nothing_under_its_old_name(tmp_path: Path) -> None:
-    """With another one paused there is no majority: nothing is served, and nothing is acknowledged."""
+    """A replica without its folder must not vote or serve. With another instance paused there is no majority:
+    nothing is served and nothing is acknowledged."""
     report = anyio.run(
         ScenarioRunner(read_scenario(str(ROOT / "deploy/scenarios/lost-folder.toml")), 1, tmp_path).run
     )
@@ -652,12 +701,13 @@
         next(e.mono for e in report.events if e.event == "process" and e["what"] == what)
         for what in ("pause", "resume")
     )
-    after = (pause + 1.1, resume)  # leases are over by then
+    after = (pause + 1.1, resume)  # all leases have ended by then
     assert not [e for e in report.events if e.event in ("left", "acked") and after[0] < e.mono < after[1]]
     assert line["changes_acked"] > 5 and line["refused"] > 50
 
 
-def test_a_play_is_drawn(tmp_path: Path) -> None:
+def test_a_run_is_plotted(tmp_path: Path) -> None:
+    """Covers every kind of event that the plot shows."""
     from harepick.fleet.plot import draw
 
     events = [
@@ -676,18 +726,19 @@
 
 
 @pytest.mark.fleet
-def test_with_all_links_slow_the_limit_is_used_and_kept(tmp_path: Path) -> None:
+def test_a_limit_is_used_and_kept_with_all_links_slow(tmp_path: Path) -> None:
+    """Delayed share updates must neither exceed the limit nor leave most of it unused."""
     cut = 'kind = "partition"\ngroups = "{a, b} | {c}"\nat = 3.5\nfor_s = 4.0\n'
-    assert cut in LIMITED
+    assert cut in LIMIT
     slow = 'kind = "link"\nfrom = "*"\nto = "*"\ndelay_ms = 60\njitter_ms = 60\nat = 0.0\nfor_s = 8.0\n'
-    report = play(tmp_path, LIMITED.replace("lease_ms = 600", "lease_ms = 1500").replace(cut, slow))
+    report = run_scenario(tmp_path, LIMIT.replace("lease_ms = 600", "lease_ms = 1500").replace(cut, slow))
     assert report.ok, (report.line(), [v.why for v in report.told][:3])
     admitted = [e for e in report.events if e.event == "admitted" and 3.0 <= e.mono - report.start < 8.0]
     assert 75 <= len(admitted) <= 168 and {e.name for e in admitted} == {"a", "b", "c"}
 
 
-# A server that fails for moments, again and again, is asked out while the floor needs it.
-PULSES = """
+# Maintenance is requested for a server with short failures, while the floor needs its capacity.
+SHORT_FAILURES = """
 instances = 3
 servers = 2
 lease_ms = 600
@@ -711,41 +762,44 @@
 """
 
 
-async def ask_and_look(play: ScenarioRunner, machine: str, until: float) -> list[dict[str, Any]]:
-    """Asks for a machine right away, and tells how its order stood at each look; cancels it at the end."""
+async def request_and_poll(runner: ScenarioRunner, machine: str, seconds: float) -> list[dict[str, Any]]:
+    """Requests maintenance for a machine, polls its order for so many seconds, and cancels it. Returns the
+    states and reasons that were seen."""
     seen = []
-    async with play.client() as client:
-        found = await call_until_answered(client, "maint_request", {"machine": machine, "reason": "upkeep"})
-        with anyio.move_on_after(until):
+    async with runner.client() as client:
+        reply = await call_until_answered(client, "maint_request", {"machine": machine, "reason": "upkeep"})
+        with anyio.move_on_after(seconds):
             while True:
                 listed = await call_until_answered(client, "maint_list", {})
-                seen += [row for row in listed["orders"] if row["order"] == found["order"]]
+                seen += [row for row in listed["orders"] if row["order"] == reply["order"]]
                 await anyio.sleep(0.1)
-        await call_until_answered(client, "maint_cancel", {"order": found["order"]})
+        await call_until_answered(client, "maint_cancel", {"order": reply["order"]})
     return seen
 
 
-def play_pulses(folder: Path, more: str = "") -> tuple[Report, list[dict[str, Any]]]:
+def run_short_failures(folder: Path, extra: str = "") -> tuple[Report, list[dict[str, Any]]]:
     seen: list[dict[str, Any]] = []
 
-    async def beside(play: ScenarioRunner) -> None:
-        seen.extend(await ask_and_look(play, "server:s0", 6.0))
+    async def beside(runner: ScenarioRunner) -> None:
+        seen.extend(await request_and_poll(runner, "server:s0", 6.0))
 
-    scenario = make_scenario(tomllib.loads(PULSES + more), "test")
+    scenario = make_scenario(tomllib.loads(SHORT_FAILURES + extra), "test")
     return anyio.run(ScenarioRunner(scenario, 1, folder, beside=beside).run), seen
 
 
 @pytest.mark.fleet
-def test_a_server_that_fails_for_moments_does_not_go_out_below_the_floor(tmp_path: Path) -> None:
-    report, seen = play_pulses(tmp_path)
+def test_a_server_with_short_failures_does_not_go_out_below_the_floor(tmp_path: Path) -> None:
+    """Short failures in sequence must not add up to a failed server, which would be exempt from the floor."""
+    report, seen = run_short_failures(tmp_path)
     assert report.ok, (report.line(), [v.why for v in report.told])
     assert {row["state"] for row in seen} == {"waiting"} and len(seen) > 10
     assert any("the floor is 2" in row["why"] for row in seen if row["why"])
 
 
 @pytest.mark.fleet
-def test_its_twin_that_takes_a_full_server_for_a_failed_one_is_found_out(tmp_path: Path) -> None:
+def test_the_checks_find_a_server_taken_out_below_the_floor(tmp_path: Path) -> None:
+    """The same scenario with every avoided server taken for failed."""
     doubles = "".join(f'{name} = "hasty-failure"\n' for name in "abc")
-    report, seen = play_pulses(tmp_path, "[double]\n" + doubles)
-    assert not report.error and fails(report).keys() == {"above_floor"}, fails(report)
+    report, seen = run_short_failures(tmp_path, "[double]\n" + doubles)
+    assert not report.error and violated(report).keys() == {"above_floor"}, violated(report)
     assert {"leaving", "out"} & {row["state"] for row in seen}
