--- a/harepick/fleet/checks.py
+++ b/harepick/fleet/checks.py
@@ -116,17 +116,17 @@
     """Every acknowledged change is in the store's final history once, under the acknowledged revision."""
     finding = Finding()
     kept: dict[str, list[Event]] = defaultdict(list)
-    ends = _select(events, "kept")
-    for event in ends:
+    final_history = _select(events, "kept")
+    for event in final_history:
         kept[event["note"]].append(event)
-    oldest = min((event["revision"] for event in ends), default=0)
+    oldest = min((event["revision"] for event in final_history), default=0)
     acks = _select(events, "acked")
     for ack in acks:
         if ack["revision"] < oldest:
             continue  # older than the history that the store keeps
         rows = kept.get(ack["note"], [])
-        if (found := [row["revision"] for row in rows]) != [ack["revision"]]:
-            why = f"{ack['note']} was acknowledged as revision {ack['revision']}, and is kept as {found}"
+        if (revisions := [row["revision"] for row in rows]) != [ack["revision"]]:
+            why = f"{ack['note']} was acknowledged as revision {ack['revision']}, and is kept as {revisions}"
             finding.add_violation("no_ack_lost", why, ack, *rows)
     finding.figures = {"changes_acked": len(acks), "acks_lost": finding.count}
     return finding
@@ -150,7 +150,7 @@
 def trouble(events: Sequence[Event], start: float, seconds: float) -> list[tuple[float, float]]:
     """Periods with a fault, in seconds from `start`, from the rig's own events: link faults, partitions, and
     instances that were not running."""
-    found: list[tuple[float, float]] = []
+    spans: list[tuple[float, float]] = []
     since: dict[str, float] = {}
     for event in _select(events, "partition", "heal", "link", "process"):
         at = event.mono - start
@@ -161,22 +161,22 @@
                 since["net"] = at
             case "heal", _:
                 if "net" in since:
-                    found.append((since.pop("net"), at))
+                    spans.append((since.pop("net"), at))
             case "link", _:
                 if event["fault"]:
                     since[event["link"]] = at
                 elif event["link"] in since:
-                    found.append((since.pop(event["link"]), at))
+                    spans.append((since.pop(event["link"]), at))
             case "process", "kill" | "pause" | "stop":
                 since[event["whom"]] = at
             case "process", "serving" | "resume":
                 if event["whom"] in since:
-                    found.append((since.pop(event["whom"]), at))
-    return [*found, *((at, seconds) for at in since.values())]
+                    spans.append((since.pop(event["whom"]), at))
+    return [*spans, *((at, seconds) for at in since.values())]
 
 
 def one_answer(events: Sequence[Event], arguments: Mapping[str, Any]) -> Finding:
-    """Each look-up has at most one answer, and exactly one if its instance ran throughout."""
+    """Each look-up has at most one answer, and exactly one if its instance stayed up."""
     finding = Finding()
     spans = downtimes(events)
     figures: Counter[str] = Counter(lookups=0, served=0, refused=0, judged=0, unanswered=0, answered_twice=0)
--- a/harepick/fleet/fake_servers.py
+++ b/harepick/fleet/fake_servers.py
@@ -63,11 +63,11 @@
         """Names of the servers that have not failed."""
         return [name for name in self.names if name not in self._failure_modes]
 
-    def open(self, n: int) -> list[int]:
-        """Opens sockets for the n-th configuration, and returns the servers' ports."""
+    def open(self, revision: int) -> list[int]:
+        """Opens sockets for a revision of the configuration, and returns the servers' ports."""
         assert self._tasks
         ports = []
-        scopes = self._scopes[n] = []
+        scopes = self._scopes[revision] = []
         for name in self.names:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
@@ -76,36 +76,35 @@
             sock.bind((HOST, 0))
             ports.append(int(sock.getsockname()[1]))
             scopes.append(anyio.CancelScope())
-            self._tasks.start_soon(self._serve, sock, name, n, scopes[-1])
+            self._tasks.start_soon(self._serve, sock, name, revision, scopes[-1])
         while len(self._scopes) > MAX_OPEN_REVISIONS:
             for scope in self._scopes.popitem(last=False)[1]:
                 scope.cancel()
         return ports
 
-    async def _serve(self, sock: socket.socket, name: str, n: int, scope: anyio.CancelScope) -> None:
+    async def _serve(self, sock: socket.socket, name: str, revision: int, scope: anyio.CancelScope) -> None:
         with scope, sock:
             async with anyio.create_task_group() as tasks:
                 while True:
                     await anyio.wait_readable(sock)
                     with suppress(OSError):  # nothing more to read, or an answer could not be delivered
                         while True:
-                            self._answer(sock, name, n, tasks)
+                            self._answer(sock, name, revision, tasks)
 
-    def _answer(self, sock: socket.socket, name: str, n: int, tasks: TaskGroup) -> None:
+    def _answer(self, sock: socket.socket, name: str, revision: int, tasks: TaskGroup) -> None:
         data, control_messages, _, peer = sock.recvmsg(MAX_DATAGRAM_BYTES, 64)
         seconds, nanoseconds = TIMESTAMP.unpack(control_messages[0][2][: TIMESTAMP.size])
         arrived_at = time.monotonic() - (time.time() - (seconds + nanoseconds / 1e9))
         self.arrivals += 1
-        # The n-th configuration is revision n: only the rig changes it, one change after another.
-        self._history.note("arrived", mono=arrived_at, server=name, revision=n)
+        # The store assigns the same number: only the rig changes the configuration, one change after another.
+        self._history.note("arrived", mono=arrived_at, server=name, revision=revision)
         mode = self._failure_modes.get(name)
         if mode == "silent":
             return
         reply = bytearray(data)
         reply[2] |= ANSWER_BIT
-        if mode or (
-            self._busy and self._busy + SUFFIX in data
-        ):  # the digits are reversed, so a number's prefix stands right before the suffix
+        # The digits are reversed in the name, so that a number's prefix stands right before the suffix.
+        if mode or (self._busy and self._busy + SUFFIX in data):
             reply[3] = reply[3] & 0xF0 | SERVFAIL
         if self._answer_delay:
             tasks.start_soon(self._answer_later, sock, bytes(reply), peer, name)
--- a/harepick/fleet/faults.py
+++ b/harepick/fleet/faults.py
@@ -134,9 +134,8 @@
         due = now + fault.delay + (self.rng.uniform(0.0, fault.jitter) if fault.jitter else 0.0)
         due = max(due, self._idle_at, self._last_due)
         if not exempt and not cut and self.rng.random() < fault.reorder:
-            return (
-                Delivery(due + REORDER_DELAY_S, data),
-            )  # `_last` is unchanged, so that later messages overtake
+            # `_last_due` is unchanged, so that later messages overtake this one.
+            return (Delivery(due + REORDER_DELAY_S, data),)
         self._last_due = due
         delivery = Delivery(due, data, cut)
         if not exempt and not cut and self.rng.random() < fault.duplicate:
--- a/harepick/fleet/load.py
+++ b/harepick/fleet/load.py
@@ -29,7 +29,7 @@
     from harepick.fleet.readiness import Readiness
 
 SUFFIX = "e164.arpa."
-QUERY_COUNT = 512  # prepared for each instance and sent in rotation, as making them would slow the load down
+QUERY_COUNT = 512  # prepared for each instance and sent in rotation, so that sending is on time
 NUMBER_DIGITS = 11  # in a called number
 SEND_INTERVAL_S = 0.005  # between two rounds of sending
 MAX_DATAGRAM_BYTES = 4096
@@ -62,7 +62,7 @@
     ready: bool  # whether the instance was ready when last polled; True without polling
     answers: int = 0
     rcode: int = -1
-    took: float = 0.0
+    duration: float = 0.0
 
 
 class LoadGenerator:
@@ -72,28 +72,28 @@
     def __init__(
         self,
         name: str,
-        place: int,
+        index: int,
         ports: Mapping[str, int],
         load: Load,
         seed: int,
         history: Recorder,
         readiness: Readiness | None = None,
     ) -> None:
-        """`ports`: DNS port of each instance by name; `place` is the index of `name` among them."""
-        instances = len(ports)
+        """`ports`: DNS port of each instance by name; `index` is the position of `name` among them."""
+        instance_count = len(ports)
         self.name = name
         self._readiness = readiness
-        self._place, self._instances, self._load, self._history = place, instances, load, history
-        rng = Random(seed * 7919 + place)
+        self._index, self._instance_count, self._load, self._history = index, instance_count, load, history
+        rng = Random(seed * 7919 + index)
         prefixes = [prefix for prefix, _ in load.numbers]
-        weights = [weight for _, weight in load.numbers]
+        prefix_weights = [weight for _, weight in load.numbers]
         self._queries: list[tuple[str, str, bytes]] = []  # prefix of the number, caller, query
         self._sockets = {caller: _socket(caller) for caller, _ in load.callers or (("", 1.0),)}
-        shares = [weight for _, weight in load.callers] or [1.0]
+        caller_weights = [weight for _, weight in load.callers] or [1.0]
         for _ in range(QUERY_COUNT):
-            prefix = rng.choices(prefixes, weights)[0]
+            prefix = rng.choices(prefixes, prefix_weights)[0]
             digits = "".join(rng.choice("0123456789") for _ in range(max(0, NUMBER_DIGITS + 1 - len(prefix))))
-            caller = rng.choices(list(self._sockets), shares)[0]
+            caller = rng.choices(list(self._sockets), caller_weights)[0]
             self._queries.append((prefix, caller, query_bytes(prefix + digits)))
         self._addresses = {name: (HOST, port) for name, port in ports.items()}
         self._open: OrderedDict[int, _Sent] = OrderedDict()  # query id -> look-up, oldest first
@@ -112,10 +112,11 @@
                 while True:
                     now = time.monotonic()
                     if not self.stopped:
-                        due_queries += self._load.at(now - start, self._place, self._instances) * (now - last)
-                        due_queries = min(
-                            due_queries, 50.0
-                        )  # after a stall of the rig the backlog is not sent as a burst
+                        due_queries += self._load.at(now - start, self._index, self._instance_count) * (
+                            now - last
+                        )
+                        # After a stall of the rig the backlog is not sent as one large burst.
+                        due_queries = min(due_queries, 50.0)
                     last = now
                     while due_queries >= 1.0:
                         due_queries -= 1.0
@@ -146,7 +147,7 @@
                         continue
                     sent.answers += 1
                     if sent.answers == 1:
-                        sent.rcode, sent.took = data[3] & 15, time.monotonic() - sent.at
+                        sent.rcode, sent.duration = data[3] & 15, time.monotonic() - sent.at
 
     def _record_due(self, now: float) -> None:
         """Records the look-ups whose answer time is over."""
@@ -165,7 +166,7 @@
                 caller=sent.caller,
                 answers=sent.answers,
                 rcode=sent.rcode,
-                took_ms=round(sent.took * 1000, 3),
+                took_ms=round(sent.duration * 1000, 3),
             )
 
     async def finish(self) -> None:
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -37,15 +37,11 @@
 
 FLEET_START_TIMEOUT_S = 30.0  # until all instances serve after the start
 SETTLE_S = 2.0  # without faults, before the run ends
-KILL_IN_CHANGE_MAX_DELAY_S = 0.015  # from the begin of a change until its leader is killed, at most
+KILL_IN_CHANGE_MAX_DELAY_S = 0.015  # from the start of a change until an instance is killed during it
 BESIDE_TIMEOUT_S = 90.0  # for the concurrent task to end once all faults are over
 CHANGE_TIMEOUT_S = 50.0  # for one attempt of a change
-FINAL_ERRORS = (
-    "invalid",
-    "bad_request",
-    "conflict",
-    "refused",
-)  # error codes of a change that has not taken effect
+# Error codes of a change that has not taken effect.
+FINAL_ERRORS = ("invalid", "bad_request", "conflict", "refused")
 
 
 @dataclass
@@ -157,9 +153,9 @@
             readiness = Readiness({n: i.ops_port for n, i in self.instances.items()}, self.history)
             tasks.start_soon(readiness.run)
         ports = {name: instance.dns_port for name, instance in self.instances.items()}
-        for place, name in enumerate(ports):
+        for index, name in enumerate(ports):
             generator = LoadGenerator(
-                name, place, ports, self.scenario.load, self.seed, self.history, readiness
+                name, index, ports, self.scenario.load, self.seed, self.history, readiness
             )
             self._generators.append(generator)
             tasks.start_soon(generator.run, self._started_at)
@@ -221,15 +217,15 @@
         (self.folder / "first.toml").write_text(await self._configuration(1))
         self._revision = 1
 
-    async def _configuration(self, n: int) -> str:
-        """The text of the n-th configuration; each has its own server addresses."""
+    async def _configuration(self, revision: int) -> str:
+        """The text of a revision of the configuration; each has its own server addresses."""
         servers = []
-        ports = self._servers.open(n)
+        ports = self._servers.open(revision)
         for name, port in zip(self._servers.names, ports, strict=True):
             if self.scenario.relay_servers:
                 port = await self.relay.datagrams(name, (HOST, port), self._udp_source)
             servers.append(f'[[upstream]]\nname = "{name}"\naddress = "{HOST}:{port}"\n')
-        return self.scenario.text(n) + "\n" + "".join(servers)
+        return self.scenario.text(revision) + "\n" + "".join(servers)
 
     def _udp_source(self, port: int) -> str:
         return udp_owner(port, self.supervisor.ids)
--- a/harepick/fleet/scenario.py
+++ b/harepick/fleet/scenario.py
@@ -53,9 +53,7 @@
     numbers: tuple[tuple[str, float], ...] = (("+9411", 1.0),)  # prefix of called numbers -> weight
     bursts: tuple[Burst, ...] = ()
     shifts: tuple[tuple[float, tuple[float, ...]], ...] = ()  # start time, and the skew from then on
-    callers: tuple[
-        tuple[str, float], ...
-    ] = ()  # address of a caller -> weight; if empty, one address that the system chooses
+    callers: tuple[tuple[str, float], ...] = ()  # source address -> weight; if empty, chosen by the system
     follow: bool = False  # callers poll readiness, and use other instances while their own is not ready
 
     def at(self, t: float, instance: int, instances: int) -> float:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -224,8 +224,8 @@
     path = tmp_path / "long.toml"
     path.write_text('seconds = 60\n[[fault]]\nkind = "pause"\nwhom = "b"\nat = 0.2\nfor_s = 50\n')
     folder = tmp_path / "play"
-    words = [sys.executable, "-m", "harepick.cli.main", "fleet", "play", str(path), "--keep", str(folder)]
-    rig = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    command = [sys.executable, "-m", "harepick.cli.main", "fleet", "play", str(path), "--keep", str(folder)]
+    rig = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     history = folder / "rig.jsonl"
 
     def paused() -> bool:
@@ -248,9 +248,9 @@
     """The command must fail before it creates its folder or any process."""
     path = tmp_path / "bad.toml"
     path.write_text('[[fault]]\nkind = "kill"\nwhom = "nobody"\nat = 1\nfor_s = 1\n')
-    words = [sys.executable, "-m", "harepick.cli.main", "fleet", "play", str(path)]
+    command = [sys.executable, "-m", "harepick.cli.main", "fleet", "play", str(path)]
     done = subprocess.run(
-        [*words, "--keep", str(tmp_path / "play")], cwd=ROOT, capture_output=True, text=True
+        [*command, "--keep", str(tmp_path / "play")], cwd=ROOT, capture_output=True, text=True
     )
     assert done.returncode == 2 and "fault[0].whom" in done.stderr
     assert not (tmp_path / "play").exists()
@@ -364,8 +364,8 @@
     assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
     assert maintenance.asked == maintenance.done == 2 and line["most_out_at_once"] == 1
     assert line["fresh_calls_to_out_servers"] == line["stale_orders"] == 0 and line["served"] > 100
-    told = {(e["order"], e["state"]) for e in report.events if e.event == "order"}
-    assert told >= {(1, "out"), (1, "back"), (2, "out"), (2, "back")}
+    order_states = {(e["order"], e["state"]) for e in report.events if e.event == "order"}
+    assert order_states >= {(1, "out"), (1, "back"), (2, "out"), (2, "back")}
 
 
 @pytest.mark.fleet
@@ -380,9 +380,9 @@
     )
     assert not report.ok and not report.error
     assert violated(report).keys() == {"no_fresh_to_out"}, violated(report)
-    late = [v.stretch[-1] for v in report.told if v.stretch[-1].event == "left"]
+    late_events = [v.stretch[-1] for v in report.told if v.stretch[-1].event == "left"]
     (cut,) = {e["link"] for e in report.events if e.event == "link"}
-    assert late and {f"*>{event.name}" for event in late} == {cut}
+    assert late_events and {f"*>{event.name}" for event in late_events} == {cut}
 
 
 # Callers follow readiness. A server fails while it and others are under maintenance, and the settings change.
@@ -440,9 +440,11 @@
 def test_the_checks_find_a_controller_that_drops_its_callers(tmp_path: Path) -> None:
     """The same scenario without faults, with the hand-over skipped: callers are refused."""
     doubles = "".join(f'{name} = "skip-handover"\n' for name in "abc")
-    calm = HANDOVER[: HANDOVER.index("[[fault]]")] + HANDOVER[HANDOVER.index("[checks]") :]
+    without_faults = HANDOVER[: HANDOVER.index("[[fault]]")] + HANDOVER[HANDOVER.index("[checks]") :]
     report = run_scenario(
-        tmp_path, calm + "[double]\n" + doubles, maintenance=MaintenanceRounds(MACHINES, work=0.5, begin=1.0)
+        tmp_path,
+        without_faults + "[double]\n" + doubles,
+        maintenance=MaintenanceRounds(MACHINES, work=0.5, begin=1.0),
     )
     assert not report.ok and not report.error
     assert violated(report).keys() == {"handover"}, violated(report)
