--- a/harepick/fleet/faults.py
+++ b/harepick/fleet/faults.py
@@ -1,7 +1,6 @@
 """Link faults: faults by direction, partitions, and the delivery schedule of one connection. No I/O.
 
-Time is an argument, and randomness comes from a seeded source that is passed in. `relay.py` applies the
-result.
+Time is an argument, and randomness comes from a seeded source that is passed in. `relay.py` delivers.
 """
 
 from __future__ import annotations
@@ -48,8 +47,7 @@
         self.version = 0  # incremented by each change
 
     def set(self, sender: str, receiver: str, fault: Fault) -> None:
-        """Sets the fault of a link. `ANY` on either side means every end; a more specific link takes
-        precedence."""
+        """Sets the fault of a link. `ANY` on a side means every end; a specific link has precedence."""
         self.version += 1
         if fault == CLEAR:
             self._faults.pop((sender, receiver), None)
--- a/harepick/fleet/maintenance_rounds.py
+++ b/harepick/fleet/maintenance_rounds.py
@@ -14,6 +14,7 @@
 from harepick.fleet.runner import ScenarioRunner
 from harepick.store.client import StoreClient, StoreError
 
+# Error codes of a request that is not repeated.
 FINAL_ERRORS = ("refused", "no_machine", "bad_request", "invalid")
 ATTEMPT_TIMEOUT_S = 10.0  # for one answer; then the request is repeated
 POLL_INTERVAL_S = 0.1  # between two requests for the list of orders
@@ -21,8 +22,7 @@
 
 @dataclass
 class MaintenanceRounds:
-    """Rounds of maintenance; `run` is passed to `ScenarioRunner` as `beside`. `asked` and `done` count
-    orders."""
+    """Rounds of maintenance; counts orders `asked` and `done`. `run` is a `beside` of `ScenarioRunner`."""
 
     machines: Sequence[str]  # `server:s0`, `controller:a`
     work: float = 1.0  # seconds of work on each machine
@@ -30,9 +30,7 @@
     rounds: int = 1
     asked: int = 0
     done: int = 0
-    why: dict[str, str] = field(
-        default_factory=dict
-    )  # machine -> last reported reason for which its order waited
+    why: dict[str, str] = field(default_factory=dict)  # machine -> reason for which its order waited last
 
     async def run(self, runner: ScenarioRunner) -> None:
         """Runs all rounds, one after another."""
--- a/harepick/fleet/plot.py
+++ b/harepick/fleet/plot.py
@@ -52,8 +52,7 @@
 
 
 def draw(report: Report, path: Path) -> None:
-    """Writes a PNG with set-ups sent by each instance, look-ups refused, revisions, and the faults at the
-    bottom."""
+    """Writes a PNG with set-ups sent by instance, look-ups refused, revisions, and the faults."""
     start = report.start
     end = max((event.mono - start for event in report.events), default=1.0)
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(11, 8), height_ratios=(3, 1.5, 1.5))
--- a/harepick/fleet/processes.py
+++ b/harepick/fleet/processes.py
@@ -156,7 +156,7 @@
         return self.folder / f"{self.name}.jsonl"
 
     @property
-    def words(self) -> list[str]:
+    def command(self) -> list[str]:
         """The command line; through `harepick.fleet.child` for a clock rate or a double."""
         if self.clock_rate == 1.0 and not self.double:
             return [sys.executable, "-m", "harepick", "--operator", str(self.path)]
@@ -189,7 +189,7 @@
         """Returns once its process runs; `serves` waits until it serves."""
         await run_sync(self.prepare)
         self.expected, self.ended = False, anyio.Event()
-        await supervisor.start(self.name, self.words, ROOT, self.log)
+        await supervisor.start(self.name, self.command, ROOT, self.log)
         self.state = "running"
 
     async def serves(self, log: Tail) -> bool:
--- a/harepick/fleet/relay.py
+++ b/harepick/fleet/relay.py
@@ -154,16 +154,14 @@
             await anyio.sleep_forever()
 
     def changed(self) -> None:
-        """To be called after each change of the network: wakes the directions that wait for a link to
-        heal."""
+        """To be called after each change of the network: wakes the directions that wait on a cut link."""
         self._changed.set()
         self._changed = anyio.Event()
 
     # Streams
 
     async def port(self, receiver: str, to: int, who: IdentifyClient | str, *, framed: bool = True) -> int:
-        """Opens a TCP port that relays to port `to` of `receiver`; `who` names the end that opens a
-        connection."""
+        """Opens a TCP port that relays to port `to` of `receiver`; `who` names the end that connects."""
         assert self._tasks
         listener = await anyio.create_tcp_listener(local_host=on_loopback(HOST), local_port=0, backlog=256)
         open_now = 0
@@ -227,8 +225,7 @@
                     data = first if first is not None else await messages.next()
                     first = None
                     await self._enqueue(schedule, data, link, queue)
-            # The end of the stream is held back while the link drops everything, and sent after all queued
-            # messages.
+            # The end of the stream is held back while the link drops everything, and follows what is queued.
             while self.network.fault(*link).drop:
                 await self._changed.wait()
             await anyio.sleep(max(0.0, queue.last_due() - monotonic()) + 0.001)
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -90,8 +90,7 @@
         beside: Callable[[ScenarioRunner], Coroutine[Any, Any, None]] | None = None,
     ) -> None:
         """`seconds` overrides the scenario's duration; `say` is given progress messages. `beside` is a
-        concurrent task of a benchmark or test: started once the fleet serves, awaited after the last
-        fault."""
+        concurrent task of a benchmark or test: started once the fleet serves, awaited after the faults."""
         self.scenario, self.seed, self.folder = scenario, seed, folder
         self.seconds = scenario.seconds if seconds is None else seconds
         self.timeline = scenario.timeline(seed, self.seconds)
@@ -321,8 +320,7 @@
         self._servers.fail(name, step.mode)
 
     async def apply_fault(self, what: str, instance: Instance) -> None:
-        """Applies one of the scenario's actions to an instance, after any action on it that is still
-        running."""
+        """Applies a scenario's action to an instance, after any action on it that is still running."""
         async with self._locks[instance.name]:
             state = instance.state
             match what:
@@ -364,8 +362,7 @@
         return resolved
 
     def role(self, role: str) -> str:
-        """The instance that has this role now, empty if none has; the name of an instance is returned as
-        is."""
+        """The instance that has this role now, empty if none has. An instance's name is returned as it is."""
         if role not in ROLES:
             return role
         for name in self.instances:
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -212,7 +212,7 @@
 ]
 # Every check, with 1.0 for all arguments.
 ALL_CHECKS = {name: dict.fromkeys(check.arguments, 1.0) for name, check in CHECKS.items()}
-# Events that make `GOOD` violate one check: the last one must be part of the violation's sequence.
+# Events that make `GOOD_HISTORY` violate one check; the last one must be in the violation's sequence.
 VIOLATIONS = [
     ("no_stale_act", make_event(2.5, "a", "left", revision=1, call="3", server="s9@1")),
     ("no_stale_arrival", make_event(2.5, "rig", "arrived", server="s0", revision=1)),
