--- a/benchmarks/gap_auto.py
+++ b/benchmarks/gap_auto.py
@@ -21,8 +21,8 @@
 from harepick.fleet.history import Event
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
-from harepick.gapping.auto_gaps import HOLDS, RENEW, STEPS
-from harepick.gapping.detector import MEMORY
+from harepick.gapping.auto_gaps import HOLD_DEMAND, RELAX_STEPS, RENEW_AGE
+from harepick.gapping.detector import AVERAGING_TIME_S
 
 LEASE = 1.0
 AFTER, TTL, INTERVAL = 0.5, 2.0, 0.5
@@ -39,8 +39,8 @@
 # the easing follow, each a little under a time to live, and the last ends by its own; a second for commits.
 # With the leader lost the time to live counts anew, after an election.
 CALM, FLOOD = RATE / 2, RATE * TIMES / 2  # to the busy number
-FADES = MEMORY * log((FLOOD - CALM) / (HOLDS * PER_S - CALM))
-LET_GO = FADES + (STEPS * (1 - RENEW / 4) + 1) * TTL + 1.0
+FADES = AVERAGING_TIME_S * log((FLOOD - CALM) / (HOLD_DEMAND * PER_S - CALM))
+LET_GO = FADES + (RELAX_STEPS * (1 - RENEW_AGE / 4) + 1) * TTL + 1.0
 LET_GO_LOST = LET_GO + TTL + 2.2 * LEASE + 2.0
 
 
--- a/harepick/gapping/__init__.py
+++ b/harepick/gapping/__init__.py
@@ -1,5 +1,5 @@
-"""Number gapping: at most so many calls an interval to a number or prefix. `docs/design/gapping.md`: what
-stands."""
+"""Number gapping: limits the calls to a number or prefix to a count per interval. Design:
+`docs/design/gapping.md`."""
 
 from harepick.gapping.slot_allocation import SlotAllocator, SlotBlock, SlotRequest
 
--- a/harepick/gapping/auto_gaps.py
+++ b/harepick/gapping/auto_gaps.py
@@ -1,8 +1,8 @@
-"""Gaps that set themselves: when the fleet begins one on a number, eases it and lets it end. Pure.
+"""Automatic gaps: the policy that sets, relaxes and ends gaps on numbers that many calls fail to reach. Pure.
 
-Whoever leads evaluates the rule on what all instances tell of their numbers; a gap is a verdict (`gapped`)
-that all honour, so that it is set, renewed and lifted as verdicts are. `docs/design/gapping.md`, "Gaps that
-set themselves".
+The leader evaluates it on the call rates that all instances report. An automatic gap is a verdict (`gapped`)
+that every instance applies, so it is set, renewed and lifted as verdicts are. Design:
+`docs/design/gapping.md`.
 """
 
 from __future__ import annotations
@@ -10,136 +10,164 @@
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
 
-HOLDS = 0.5  # of `per_s`: under so much demand a gap is eased, and only over `per_s` is one begun
-STEPS = 3  # halvings of the interval before a gap ends
-RENEW = 0.5  # of its time to live, after which a gap that is still wanted is renewed
-MOST = 64  # gaps that set themselves, at once
-OFFERED, BAD = "+", "-"  # first letters of what instances tell: a number is `+` and digits
+HOLD_DEMAND = 0.5  # part of `per_s`: a gap starts at `per_s` and is relaxed only below this part of it
+RELAX_STEPS = 3  # halvings of the interval before a gap ends
+RENEW_AGE = 0.5  # part of the time to live after which a gap that is still needed is renewed
+MAX_ACTIVE = 64  # automatic gaps at once
+# First characters of the keys under which instances report rates. A number consists of + and digits; its
+# failed calls are reported under the same digits after a minus sign.
+OFFERED_PREFIX, FAILED_PREFIX = "+", "-"
 
 
 @dataclass(frozen=True, slots=True)
 class AutoGapSettings:
-    """`[autogap]`."""
+    """The table `[autogap]` of the configuration."""
 
-    per_s: float  # calls a second to one number, over the fleet, from which a gap may begin
-    failing: float = 0.5  # share of them that must come to nothing
-    after: float = 2.0  # seconds for which both must hold
-    interval: float = 1.0  # of the gap
-    ttl: float = 10.0  # seconds that a gap, and each step of its easing, holds
-    act: bool = True  # False: it is proposed in the log, and nothing is set
+    per_s: float  # calls per second to one number, over the fleet, from which a gap may start
+    failing: float = 0.5  # part of these calls that must fail
+    after: float = 2.0  # seconds for which both conditions must hold
+    interval: float = 1.0  # of the gap, in seconds
+    ttl: float = 10.0  # time to live of a gap, and of each step in which it is relaxed, in seconds
+    act: bool = True  # False: gaps are only proposed in the log
 
 
 @dataclass(frozen=True, slots=True)
 class GapProposal:
-    """A gap on `number` from now on; `why` for whoever reads of it."""
+    """A gap to set or renew now; `why` is the explanation for operators."""
 
     number: str
-    interval: float
-    evidence: float  # seconds that it was seen for
+    interval: float  # seconds
+    evidence: float  # seconds for which the need was observed
     why: str
 
 
 @dataclass(slots=True)
-class _Number:
-    """What the leader remembers of one number."""
+class _NumberState:
+    """The leader's state of one number; times are in seconds."""
 
-    since: float | None = None  # when it came to want a gap
-    step: int = 0  # halvings so far
-    said: float = float("-inf")  # when its gap was set or renewed last
-    set: bool = False  # whether its gap was seen among the verdicts since
-    left: bool = False  # an operator lifted it: it is left alone until demand has fallen
+    overloaded_since: float | None = None  # when the conditions for a gap were first met
+    step: int = 0  # halvings of the interval so far
+    proposed_at: float = float("-inf")  # when its gap was last set or renewed
+    seen_active: bool = False  # its gap has been among the verdicts since then
+    suppressed: bool = False  # an operator lifted its gap: no other one until demand has fallen
 
 
 def failed_rate_key(offered: str) -> str:
-    """The key under which a number's bad calls are told beside its offered ones."""
-    return BAD + offered[1:]
+    """The key that reports a number's failed calls; `offered` is the key of its offered calls."""
+    return FAILED_PREFIX + offered[1:]
 
 
 def sum_call_rates(demands: Mapping[str, Mapping[str, float]]) -> dict[str, tuple[float, float]]:
-    """Offered and bad calls a second to each number that instances tell of, over all of them."""
-    found: dict[str, tuple[float, float]] = {}
-    for rows in demands.values():
-        for key, rate in rows.items():
-            if key[:1] == OFFERED:
-                offered, bad = found.get(key, (0.0, 0.0))
-                found[key] = (offered + rate, bad + rows.get(failed_rate_key(key), 0.0))
-    return found
+    """Number -> offered and failed calls per second, summed over all instances that report it."""
+    totals: dict[str, tuple[float, float]] = {}
+    for rates in demands.values():
+        for key, rate in rates.items():
+            if key[:1] == OFFERED_PREFIX:
+                offered, failed = totals.get(key, (0.0, 0.0))
+                totals[key] = (offered + rate, failed + rates.get(failed_rate_key(key), 0.0))
+    return totals
 
 
 @dataclass(slots=True)
 class AutoGaps:
-    """Owns what one leader remembers; a new one begins anew, from the gaps that hold."""
+    """The policy and one leader's state of it. A new leader starts empty and learns from the active gaps."""
 
-    _numbers: dict[str, _Number] = field(default_factory=dict)
+    _numbers: dict[str, _NumberState] = field(default_factory=dict)
 
     def decide(
         self,
-        plan: AutoGapSettings,
+        settings: AutoGapSettings,
         rates: Mapping[str, tuple[float, float]],
-        holding: Mapping[str, float],
-        spared: Collection[str],
+        active_gaps: Mapping[str, float],
+        configured_numbers: Collection[str],
         now: float,
     ) -> Iterator[GapProposal]:
-        """Gaps to set or renew now. `holding`: those that hold, with their intervals; `spared`: numbers that
-        an operator has a gap on, which goes first. One that is not renewed ends with its time to live."""
-        for number in [n for n in self._numbers if n not in rates and n not in holding]:
-            del self._numbers[number]  # no demand that anybody tells of: it begins anew
-        for number in holding:
+        """Yields the gaps to set or renew at `now`; a gap that is not renewed ends with its time to live.
+
+        `rates`: number -> offered and failed calls per second. `active_gaps`: number -> interval of the
+        automatic gap in force. `configured_numbers`: they have a gap set by an operator, which takes
+        precedence.
+        """
+        for number in [n for n in self._numbers if n not in rates and n not in active_gaps]:
+            del self._numbers[number]  # no instance reports demand for it
+        for number in active_gaps:
             rates = rates if number in rates else {**rates, number: (0.0, 0.0)}
-        wanted: list[GapProposal] = []
-        for number, (offered, bad) in rates.items():
-            known = self._numbers.setdefault(number, _Number())
-            if number in spared:
-                self._numbers[number] = _Number()
-            elif number in holding:
-                wanted += self._hold(number, known, plan, offered, holding[number], now)
+        proposals: list[GapProposal] = []
+        for number, (offered, failed) in rates.items():
+            state = self._numbers.setdefault(number, _NumberState())
+            if number in configured_numbers:
+                self._numbers[number] = _NumberState()
+            elif number in active_gaps:
+                proposals += self._renew_or_relax(number, state, settings, offered, active_gaps[number], now)
             else:
-                wanted += self._begin(number, known, plan, offered, bad, now)
-        room = MOST - len(holding)
-        for want in wanted:
-            if want.number in holding or room > 0:
-                room -= want.number not in holding
-                yield want
-
-    def _begin(
-        self, number: str, known: _Number, plan: AutoGapSettings, offered: float, bad: float, now: float
+                proposals += self._start(number, state, settings, offered, failed, now)
+        free = MAX_ACTIVE - len(active_gaps)
+        for proposal in proposals:
+            if proposal.number in active_gaps or free > 0:
+                free -= proposal.number not in active_gaps
+                yield proposal
+
+    def _start(
+        self,
+        number: str,
+        state: _NumberState,
+        settings: AutoGapSettings,
+        offered: float,
+        failed: float,
+        now: float,
     ) -> Iterator[GapProposal]:
-        if known.set:  # it was there, and is not: its time was over, or an operator lifted it
-            known.left = now < known.said + plan.ttl and offered >= HOLDS * plan.per_s
-            known.set, known.since, known.step = False, None, 0
-        if known.left and offered >= HOLDS * plan.per_s:
+        """Proposes a gap on a number that has none, once the conditions have held for `settings.after`."""
+        if state.seen_active:  # its gap is gone: the time to live ran out, or an operator lifted it
+            state.suppressed = (
+                now < state.proposed_at + settings.ttl and offered >= HOLD_DEMAND * settings.per_s
+            )
+            state.seen_active, state.overloaded_since, state.step = False, None, 0
+        if state.suppressed and offered >= HOLD_DEMAND * settings.per_s:
             return
-        known.left = False
-        if offered < plan.per_s or bad < plan.failing * offered:
-            known.since = None
+        state.suppressed = False
+        if offered < settings.per_s or failed < settings.failing * offered:
+            state.overloaded_since = None
             return
-        if known.since is None:
-            known.since = now
-        if now - known.since >= plan.after and now - known.said >= plan.after:
-            known.said, known.step = now, 0
-            share = bad / offered
-            why = f"{offered:.0f} calls a second, {share:.0%} of them for nothing"
-            yield GapProposal(number, plan.interval, now - known.since, why)
-
-    def _hold(
-        self, number: str, known: _Number, plan: AutoGapSettings, offered: float, interval: float, now: float
+        if state.overloaded_since is None:
+            state.overloaded_since = now
+        if now - state.overloaded_since >= settings.after and now - state.proposed_at >= settings.after:
+            state.proposed_at, state.step = now, 0
+            failed_part = failed / offered
+            why = f"{offered:.0f} calls a second, {failed_part:.0%} of them for nothing"
+            yield GapProposal(number, settings.interval, now - state.overloaded_since, why)
+
+    def _renew_or_relax(
+        self,
+        number: str,
+        state: _NumberState,
+        settings: AutoGapSettings,
+        offered: float,
+        interval: float,
+        now: float,
     ) -> Iterator[GapProposal]:
-        if not known.set:  # the first look at it; a new leader's, perhaps: all that it knows is the interval
-            known.set, known.said = True, max(known.said, now - (1 - RENEW) * plan.ttl)
-            known.step = 0
-            while known.step < STEPS and plan.interval / 2 ** (known.step + 1) >= interval * (1 - 1e-9):
-                known.step += 1
-        age = now - known.said
-        if offered >= plan.per_s and known.step:
-            step = 0  # it is back
-        elif offered >= HOLDS * plan.per_s:
-            if age < RENEW * plan.ttl:
+        """Renews an active gap while demand lasts, halves its interval as demand falls, and restores it when
+        demand returns."""
+        if not state.seen_active:  # seen for the first time; a new leader derives the step from the interval
+            state.seen_active, state.proposed_at = (
+                True,
+                max(state.proposed_at, now - (1 - RENEW_AGE) * settings.ttl),
+            )
+            state.step = 0
+            while state.step < RELAX_STEPS and settings.interval / 2 ** (state.step + 1) >= interval * (
+                1 - 1e-9
+            ):
+                state.step += 1
+        age = now - state.proposed_at
+        if offered >= settings.per_s and state.step:
+            step = 0  # demand has returned: the whole interval again
+        elif offered >= HOLD_DEMAND * settings.per_s:
+            if age < RENEW_AGE * settings.ttl:
                 return
-            step = known.step
+            step = state.step
         else:
-            # Each step of the easing holds for nearly a time to live; after the last the gap ends by itself.
-            if age < (1 - RENEW / 4) * plan.ttl or known.step >= STEPS:
+            # Each step lasts for almost a time to live. After the last step the gap expires.
+            if age < (1 - RENEW_AGE / 4) * settings.ttl or state.step >= RELAX_STEPS:
                 return
-            step = known.step + 1
-        known.said, known.step = now, step
-        yield GapProposal(number, plan.interval / 2**step, age, f"{offered:.0f} calls a second")
+            step = state.step + 1
+        state.proposed_at, state.step = now, step
+        yield GapProposal(number, settings.interval / 2**step, age, f"{offered:.0f} calls a second")
--- a/harepick/gapping/detector.py
+++ b/harepick/gapping/detector.py
@@ -1,9 +1,9 @@
-"""Which numbers are called most, and how many of their calls come to nothing: one instance's view. Pure.
+"""Detects the most called numbers and how many of their calls fail, as one instance sees them. Pure.
 
-Bounded whatever numbers come: a table of the heaviest (Space-Saving; Metwally, Agrawal, El Abbadi, 2005) in
-which weights fade by time (forward decay; Cormode and others, 2009). A number that is in the table is never
-rated lower than it is; `error` is by how much it may be rated higher, so that a flood of numbers that are
-called once each makes none look heavy.
+Memory is bounded whatever numbers are called. The table keeps the heaviest numbers (Space-Saving; Metwally,
+Agrawal, El Abbadi, 2005) with weights that decay over time (forward decay; Cormode et al., 2009). The table
+never underestimates a number that it holds; `error` bounds the overestimate and is subtracted, so that many
+numbers that are called once each make none look heavy.
 """
 
 from __future__ import annotations
@@ -13,80 +13,90 @@
 from math import exp
 
 MAX_NUMBERS = 256
-MAX_TOLD = 8  # numbers that one instance tells of
-MEMORY = 2.0  # seconds over which a rate is averaged
-AHEAD = 30.0  # times `MEMORY` after which weights are counted from a later moment, before they grow too large
+MAX_REPORTED_NUMBERS = 8  # per instance
+AVERAGING_TIME_S = 2.0  # time constant of the rates
+RESCALE_AFTER = 30.0  # averaging times after which weights get a new reference time, before they overflow
 
 
 @dataclass(slots=True)
-class _Row:
-    """Weights of a number, as seen from the detector's `_since`."""
+class _Counter:
+    """Weights of a number, relative to the detector's reference time."""
 
     offered: float
-    bad: float  # of these, calls that were refused or failed
-    error: float  # of `offered`, what may be another's
+    failed: float  # part of `offered`: refused and failed calls
+    error: float  # part of `offered` that may belong to numbers dropped before
 
 
 class Detector:
-    """Owns the table."""
+    """A bounded table of the most called numbers; times are in seconds, on any steady clock."""
 
-    def __init__(self, most: int = MAX_NUMBERS) -> None:
-        self._most = most
-        self._rows: dict[str, _Row] = {}
-        self._heap: list[tuple[float, str]] = []  # a weight that was true once, and its number
-        self._since = 0.0
+    def __init__(self, capacity: int = MAX_NUMBERS) -> None:
+        self._capacity = capacity
+        self._counters: dict[str, _Counter] = {}
+        self._heap: list[tuple[float, str]] = []  # (lower bound of the offered weight, number)
+        self._reference_time = 0.0
 
     def __len__(self) -> int:
-        return len(self._rows)
+        return len(self._counters)
 
     def _weight(self, now: float) -> float:
-        """What a call at `now` counts: the later, the more, in place of fading all that came before."""
-        if now - self._since > AHEAD * MEMORY:
-            fade = exp(-(now - self._since) / MEMORY)
-            for row in self._rows.values():
-                row.offered, row.bad, row.error = row.offered * fade, row.bad * fade, row.error * fade
-            self._since = now
-            self._heap = [(row.offered, number) for number, row in self._rows.items()]
+        """Weight of a call at `now`: later calls weigh more, in place of a decay of all earlier ones.
+
+        Moves the reference time forward when it is too far back.
+        """
+        if now - self._reference_time > RESCALE_AFTER * AVERAGING_TIME_S:
+            decay = exp(-(now - self._reference_time) / AVERAGING_TIME_S)
+            for counter in self._counters.values():
+                counter.offered, counter.failed, counter.error = (
+                    counter.offered * decay,
+                    counter.failed * decay,
+                    counter.error * decay,
+                )
+            self._reference_time = now
+            self._heap = [(counter.offered, number) for number, counter in self._counters.items()]
             heapq.heapify(self._heap)
-        return exp((now - self._since) / MEMORY)
+        return exp((now - self._reference_time) / AVERAGING_TIME_S)
 
     def offered(self, number: str, now: float) -> None:
-        """A call to that number, whatever becomes of it."""
+        """Counts a call to that number, whatever its outcome will be."""
         weight = self._weight(now)
-        row = self._rows.get(number)
-        if row is not None:
-            row.offered += weight
+        counter = self._counters.get(number)
+        if counter is not None:
+            counter.offered += weight
             return
-        least = self._make_room() if len(self._rows) >= self._most else 0.0
-        self._rows[number] = _Row(least + weight, 0.0, least)
-        heapq.heappush(self._heap, (least + weight, number))
+        inherited = self._drop_lightest() if len(self._counters) >= self._capacity else 0.0
+        self._counters[number] = _Counter(inherited + weight, 0.0, inherited)
+        heapq.heappush(self._heap, (inherited + weight, number))
 
-    def _make_room(self) -> float:
-        """Drops the lightest number; its weight."""
+    def _drop_lightest(self) -> float:
+        """Drops the number with the smallest weight; returns that weight."""
         while True:
             weight, number = heapq.heappop(self._heap)
-            row = self._rows[number]
-            if row.offered <= weight:
-                del self._rows[number]
-                return row.offered
-            heapq.heappush(self._heap, (row.offered, number))  # it has grown meanwhile
+            counter = self._counters[number]
+            if counter.offered <= weight:
+                del self._counters[number]
+                return counter.offered
+            heapq.heappush(self._heap, (counter.offered, number))  # its weight has grown since
 
     def ended(self, number: str, good: bool, now: float) -> None:
-        """What a call to that number came to."""
-        if not good and (row := self._rows.get(number)):
-            row.bad += self._weight(now)
+        """Counts the outcome of a call to that number."""
+        if not good and (counter := self._counters.get(number)):
+            counter.failed += self._weight(now)
 
     def rate(self, number: str, now: float) -> tuple[float, float]:
-        """Calls a second lately, for certain; and of these, ones that came to nothing."""
-        row = self._rows.get(number)
-        if row is None:
+        """Calls per second, a lower bound, and failed calls per second; 0 for a number not in the table."""
+        counter = self._counters.get(number)
+        if counter is None:
             return 0.0, 0.0
-        scale = self._weight(now) * MEMORY  # first: it may count weights anew
-        return max(0.0, row.offered - row.error) / scale, row.bad / scale
+        scale = self._weight(now) * AVERAGING_TIME_S  # before the counter is read: it may rescale weights
+        return max(0.0, counter.offered - counter.error) / scale, counter.failed / scale
 
-    def heaviest(self, now: float, least: float) -> dict[str, tuple[float, float]]:
-        """Numbers called at least so often a second, the heaviest first, each with its two rates."""
+    def heaviest(self, now: float, min_rate: float) -> dict[str, tuple[float, float]]:
+        """The rates of the most called numbers with at least `min_rate` calls per second, heaviest first."""
         self._weight(now)
-        found = {number: self.rate(number, now) for number in self._rows}
-        heavy = [number for number, (offered, _) in found.items() if offered >= least]
-        return {number: found[number] for number in heapq.nlargest(MAX_TOLD, heavy, key=found.__getitem__)}
+        rates = {number: self.rate(number, now) for number in self._counters}
+        heavy = [number for number, (offered, _) in rates.items() if offered >= min_rate]
+        return {
+            number: rates[number]
+            for number in heapq.nlargest(MAX_REPORTED_NUMBERS, heavy, key=rates.__getitem__)
+        }
--- a/harepick/gapping/gaps.py
+++ b/harepick/gapping/gaps.py
@@ -1,7 +1,7 @@
-"""The decider of one instance: which calls pass the gaps that are set. Pure: time is an argument, in seconds.
+"""The gaps of one instance and the decision which calls pass them. Pure: time is an argument, in seconds.
 
-Owns the gaps and what was used of the slot that each is in. Rules and where they differ from ITU-T E.412 and
-Q.1248: `docs/design/gapping.md`.
+Owns the gaps and the number of calls that passed in the current slot of each. The rules, and where they
+differ from ITU-T E.412 and Q.1248, are in `docs/design/gapping.md`.
 """
 
 from __future__ import annotations
@@ -13,48 +13,49 @@
 from operator import attrgetter
 
 MAX_GAPS = 200_000
-MAX_BROAD = 256  # gaps that name no number and no prefix: each is looked at for every call
-BLOCK_ALL = inf  # as an interval: no call passes
-# How each front writes the number called: ENUM's are E.164 (ITU-T E.164, section 6); the platform's are the
-# tokens that the first line of its SIP address holds (the door's own check, `net/setups.py`).
-PLANS = {
+MAX_BROAD_GAPS = 256  # gaps with neither number nor prefix: every call is matched against each of them
+BLOCK_ALL = inf  # interval of a gap that passes no call
+# Format of the called number on each service. ENUM uses E.164 numbers (ITU-T E.164, section 6); the platform
+# uses the tokens that the first line of its SIP messages may hold (the same check as in `net/setups.py`).
+NUMBERING_PLANS = {
     "e164": (re.compile(r"\+[0-9]{1,15}"), "+ and up to 15 digits"),
     "platform": (re.compile(r"[0-9A-Za-z+*_.-]{1,64}"), "up to 64 letters, digits and +*_.-"),
 }
 
 
-# Gap id and slot from the Unix epoch -> whether this instance owns that slot's turns.
+# (gap id, slot number from the Unix epoch) -> whether this instance owns that slot.
 SlotOwnership = Callable[[str, int], bool]
 
 
 class GapError(ValueError):
-    """A gap that makes no sense; the text begins with the faulty key."""
+    """An invalid gap; the text begins with the key that is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """One gap. `number` and `prefix` are `+` and digits; an empty criterion fits everything."""
+    """One gap; times are Unix seconds. An empty criterion matches every call."""
 
     id: str
-    interval: float  # seconds of a slot; 0: all pass; `BLOCK_ALL`: none
+    interval: float  # length of a slot in seconds; 0 passes every call, `BLOCK_ALL` none
     number: str = ""
     prefix: str = ""
     call_class: str = ""
     zone: str = ""
-    count: int = 1  # turns in a slot
+    count: int = 1  # calls that pass per slot
     start: float = 0.0
-    end: float = inf  # from this moment on it is over
-    inherit: bool = True  # the next broader gap counts as well
+    end: float = inf  # exclusive
+    inherit: bool = True  # broader gaps that match the call apply as well
     reason: str = ""
     owner: str = ""
-    plan: str = "e164"  # how `number` and `prefix` are written: a key of `PLANS`
+    plan: str = "e164"  # numbering plan of `number` and `prefix`: a key of `NUMBERING_PLANS`
 
     @property
-    def specific(self) -> tuple[bool, int, int]:
-        """Greater is more specific."""
+    def specificity(self) -> tuple[bool, int, int]:
+        """Sorts gaps by how specific their criteria are; greater is more specific."""
         return bool(self.number), len(self.prefix), bool(self.call_class) + bool(self.zone)
 
-    def fits(self, call: Call) -> bool:
+    def matches(self, call: Call) -> bool:
+        """Whether the call meets all criteria; its time is not considered."""
         return (
             self.number in ("", call.number)
             and call.number.startswith(self.prefix)
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What a gap can see of a call."""
+    """The properties of a call that gaps are matched against."""
 
     number: str
     call_class: str = ""
@@ -74,187 +75,205 @@
 
 @dataclass(frozen=True, slots=True)
 class GapDecision:
-    """`gap` is the one that refused; `come_back` the seconds until it has a turn again, 0 if that is not
-    known."""
+    """Whether a call passes.
+
+    `gap` is the id of the gap that refused it; `retry_after` the seconds until that gap may pass a call, or 0
+    if this is unknown.
+    """
 
     passed: bool
     gap: str = ""
-    come_back: float = 0.0
+    retry_after: float = 0.0
 
 
 PASSED = GapDecision(True)
 
 
 @dataclass(slots=True)
-class _Use:
-    """A gap and what was used of it."""
+class _GapState:
+    """A gap, the calls that passed in its current slot, and its counters."""
 
     gap: Gap
-    order: tuple[tuple[bool, int, int], str]
-    slot: int = -1
-    taken: int = 0
+    sort_key: tuple[tuple[bool, int, int], str]
+    slot: int = -1  # current slot, counted from the gap's start
+    passed_in_slot: int = 0
     offered: int = 0
     passed: int = 0
     refused: int = 0
 
 
 def check_gap(gap: Gap, now: float, classes: Iterable[str] = ()) -> None:
-    """Raises `GapError`, its text beginning with the faulty key."""
-    if gap.plan not in PLANS:
-        raise GapError(f"plan is none of {sorted(PLANS)}: {gap.plan!r}")
-    form, told = PLANS[gap.plan]
+    """Raises `GapError` if the gap is invalid or already over; any class is valid if `classes` is empty."""
+    if gap.plan not in NUMBERING_PLANS:
+        raise GapError(f"plan is none of {sorted(NUMBERING_PLANS)}: {gap.plan!r}")
+    pattern, description = NUMBERING_PLANS[gap.plan]
     for key in ("number", "prefix"):
         value = getattr(gap, key)
-        if value and not (value.isascii() and form.fullmatch(value)):
-            raise GapError(f"{key} is no {told}: {value!r}")
+        if value and not (value.isascii() and pattern.fullmatch(value)):
+            raise GapError(f"{key} is no {description}: {value!r}")
     if not gap.id:
         raise GapError("id is empty")
     if not (gap.number or gap.prefix or gap.call_class or gap.zone):
-        raise GapError("number, prefix, class and zone are all empty: the gap would fit every call")
+        raise GapError("number, prefix, class and zone are all empty: the gap would match every call")
     if gap.number and not gap.number.startswith(gap.prefix):
-        raise GapError(f"prefix {gap.prefix!r} does not begin the number {gap.number!r}")
+        raise GapError(f"prefix {gap.prefix!r} is not a prefix of the number {gap.number!r}")
     if not gap.interval >= 0:
         raise GapError(f"interval is negative: {gap.interval!r}")
     if isinstance(gap.count, bool) or gap.count < 1:
-        raise GapError(f"count is under 1: {gap.count!r}")
+        raise GapError(f"count is less than 1: {gap.count!r}")
     if not gap.end > max(gap.start, now):
         raise GapError(f"end is past, or not after the start: {gap.end!r}")
-    known = set(classes)
-    if gap.call_class and known and gap.call_class not in known:
+    known_classes = set(classes)
+    if gap.call_class and known_classes and gap.call_class not in known_classes:
         raise GapError(f"class is not known: {gap.call_class!r}")
 
 
 class Gaps:
-    """The gaps that are set. A decision looks at one entry for each length of prefix in use, however many
-    gaps."""
+    """The gaps of one instance.
+
+    A decision takes one look-up by number and one for each length of prefix in use, whatever the number of
+    gaps; gaps with neither number nor prefix are all compared.
+    """
 
     def __init__(self) -> None:
-        self._by_id: dict[str, _Use] = {}
-        self._by_number: dict[str, list[_Use]] = {}
-        self._by_prefix: dict[int, dict[str, list[_Use]]] = {}  # length -> prefix -> gaps
-        self._broad: list[_Use] = []
+        self._by_id: dict[str, _GapState] = {}
+        self._by_number: dict[str, list[_GapState]] = {}
+        self._by_prefix: dict[int, dict[str, list[_GapState]]] = {}  # length -> prefix -> gaps
+        self._broad: list[_GapState] = []
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     def set(self, gap: Gap, now: float, classes: Iterable[str] = ()) -> None:
-        """Begins or changes a gap; one that changes keeps what was used of its slot if its slots stay the
-        same.
+        """Adds or replaces a gap.
 
-        Raises `GapError`, changing nothing."""
+        A replaced gap keeps its counters, and with the same start and interval also the calls that passed in
+        the current slot. Raises `GapError` and changes nothing if the gap is invalid or there are too many.
+        """
         check_gap(gap, now, classes)
         old = self._by_id.get(gap.id)
         if old is None and len(self._by_id) >= MAX_GAPS:
             raise GapError(f"id: there are {MAX_GAPS} gaps already")
         broad = not gap.number and not gap.prefix
-        if broad and len(self._broad) - (old in self._broad) >= MAX_BROAD:
-            raise GapError(f"number and prefix are empty, and there are {MAX_BROAD} such gaps already")
-        use = _Use(gap, (gap.specific, gap.id))
+        if broad and len(self._broad) - (old in self._broad) >= MAX_BROAD_GAPS:
+            raise GapError(f"number and prefix are empty, and there are {MAX_BROAD_GAPS} such gaps already")
+        state = _GapState(gap, (gap.specificity, gap.id))
         if old:
-            use.offered, use.passed, use.refused = old.offered, old.passed, old.refused
+            state.offered, state.passed, state.refused = old.offered, old.passed, old.refused
             if (old.gap.interval, old.gap.start) == (gap.interval, gap.start):
-                use.slot, use.taken = old.slot, old.taken
+                state.slot, state.passed_in_slot = old.slot, old.passed_in_slot
             self.lift(gap.id)
-        self._by_id[gap.id] = use
-        self._place(gap).append(use)
+        self._by_id[gap.id] = state
+        self._index_list(gap).append(state)
 
     def lift(self, name: str) -> Gap | None:
-        """Ends a gap; None if there is none of that id."""
-        use = self._by_id.pop(name, None)
-        if use is None:
+        """Removes and returns the gap with that id; None if there is none."""
+        state = self._by_id.pop(name, None)
+        if state is None:
             return None
-        gap, rows = use.gap, self._place(use.gap)
-        rows.remove(use)
-        if not rows and gap.number:
+        gap, states = state.gap, self._index_list(state.gap)
+        states.remove(state)
+        if not states and gap.number:
             del self._by_number[gap.number]
-        elif not rows and gap.prefix:
-            table = self._by_prefix[len(gap.prefix)]
-            del table[gap.prefix]
-            if not table:
+        elif not states and gap.prefix:
+            by_prefix = self._by_prefix[len(gap.prefix)]
+            del by_prefix[gap.prefix]
+            if not by_prefix:
                 del self._by_prefix[len(gap.prefix)]
         return gap
 
     def expire(self, now: float) -> list[Gap]:
-        """Lifts those that are over."""
-        over = [use.gap for use in self._by_id.values() if use.gap.end <= now]
-        for gap in over:
+        """Removes and returns the gaps that have ended."""
+        expired = [state.gap for state in self._by_id.values() if state.gap.end <= now]
+        for gap in expired:
             self.lift(gap.id)
-        return over
+        return expired
 
     def decide(self, call: Call, now: float, owns: SlotOwnership | None = None) -> GapDecision:
-        """Takes a turn at every gap that counts for this call, or at none. With `owns`, a slot's turns are
-        this instance's only if `owns(gap, slot)` says so, the slot counted from the Unix epoch: over a fleet
-        each slot has one owner (`slot_allocation.py`)."""
-        counting = self._counting(call, now)
-        if not counting:
+        """Decides whether a call passes, and counts it at every gap that applies to it.
+
+        A call passes if every such gap may still pass one in its current slot; a refused call uses up none of
+        them. With `owns`, a gap passes calls only in slots for which `owns(gap, slot)` is true, where slots
+        are counted from the Unix epoch: in a fleet each slot has one owner (`slot_allocation.py`).
+        """
+        applicable = self._applicable(call, now)
+        if not applicable:
             return PASSED
-        verdict, waits = PASSED, 0.0
-        for use in counting:
-            use.offered += 1
-            wait = _wait(use, now, owns)
-            if wait is not None and (verdict.passed or wait > waits):
-                verdict, waits = GapDecision(False, use.gap.id, 0.0 if wait == inf else wait), wait
-        for use in counting:
-            if verdict.passed:
-                use.passed += 1
-                use.taken += 1
+        decision, longest_wait = PASSED, 0.0
+        for state in applicable:
+            state.offered += 1
+            wait = _wait(state, now, owns)
+            if wait is not None and (decision.passed or wait > longest_wait):
+                decision, longest_wait = GapDecision(False, state.gap.id, 0.0 if wait == inf else wait), wait
+        for state in applicable:
+            if decision.passed:
+                state.passed += 1
+                state.passed_in_slot += 1
             else:
-                use.refused += use.gap.id == verdict.gap
-        return verdict
+                state.refused += state.gap.id == decision.gap
+        return decision
 
     def explain(self, call: Call, now: float) -> list[tuple[Gap, bool]]:
-        """The gaps that count for a call, most specific first, and whether each has a turn now; takes
-        none."""
-        return [(use.gap, _wait(use, now) is None) for use in self._counting(call, now)]
+        """The gaps that apply to a call, most specific first, and whether each would pass it; counts
+        nothing."""
+        return [(state.gap, _wait(state, now) is None) for state in self._applicable(call, now)]
 
     def counts(self) -> Mapping[str, tuple[int, int, int]]:
-        """By gap: calls offered, passed, and refused by it."""
-        return {name: (use.offered, use.passed, use.refused) for name, use in self._by_id.items()}
+        """Gap id -> calls offered, passed, and refused by that gap."""
+        return {name: (state.offered, state.passed, state.refused) for name, state in self._by_id.items()}
 
-    def _place(self, gap: Gap) -> list[_Use]:
+    def _index_list(self, gap: Gap) -> list[_GapState]:
+        """The list in which the gap is indexed, created if there is none."""
         if gap.number:
             return self._by_number.setdefault(gap.number, [])
         if gap.prefix:
             return self._by_prefix.setdefault(len(gap.prefix), {}).setdefault(gap.prefix, [])
         return self._broad
 
-    def _counting(self, call: Call, now: float) -> list[_Use]:
-        """Those that fit and run, most specific first, down to the first that does not inherit."""
+    def _applicable(self, call: Call, now: float) -> list[_GapState]:
+        """Active gaps that match, most specific first, up to the first that does not inherit."""
         number = call.number
-        found: list[_Use] = []
-        if rows := self._by_number.get(number):
-            found += rows
-        for length, table in self._by_prefix.items():
-            if rows := table.get(number[:length]):
-                found += rows
+        found: list[_GapState] = []
+        if states := self._by_number.get(number):
+            found += states
+        for length, by_prefix in self._by_prefix.items():
+            if states := by_prefix.get(number[:length]):
+                found += states
         found += self._broad
         if not found:
             return found
-        if len(found) == 1:  # as nearly always
+        if len(found) == 1:  # the common case: no need to sort
             gap = found[0].gap
-            return found if gap.start <= now < gap.end and gap.fits(call) else []
-        found = [u for u in found if u.gap.start <= now < u.gap.end and u.gap.fits(call)]
-        found.sort(key=_order, reverse=True)
-        for n, use in enumerate(found):
-            if not use.gap.inherit:
-                return found[: n + 1]
+            return found if gap.start <= now < gap.end and gap.matches(call) else []
+        found = [
+            candidate
+            for candidate in found
+            if candidate.gap.start <= now < candidate.gap.end and candidate.gap.matches(call)
+        ]
+        found.sort(key=_sort_key, reverse=True)
+        for position, state in enumerate(found):
+            if not state.gap.inherit:
+                return found[: position + 1]
         return found
 
 
-_order = attrgetter("order")
+_sort_key = attrgetter("sort_key")
+
 
+def _wait(state: _GapState, now: float, owns: SlotOwnership | None = None) -> float | None:
+    """None if the gap passes a call now, or else the seconds until it may pass one.
 
-def _wait(use: _Use, now: float, owns: SlotOwnership | None = None) -> float | None:
-    """None if it has a turn now, else the seconds until it may have one; moves on to the slot of now."""
-    gap = use.gap
+    Advances the state to the current slot.
+    """
+    gap = state.gap
     if gap.interval == 0:
         return None
     if gap.interval == BLOCK_ALL:
         return gap.end - now
     slot = floor((now - gap.start) / gap.interval)
-    if slot > use.slot:  # never back: a clock that jumps gives no second turn
-        use.slot, use.taken = slot, 0
-    mine = owns is None or owns(gap.id, use.slot + round(gap.start / gap.interval))
-    if use.taken < gap.count and mine:
+    if slot > state.slot:  # never backwards: a clock that is set back must not let a slot be used twice
+        state.slot, state.passed_in_slot = slot, 0
+    owned = owns is None or owns(gap.id, state.slot + round(gap.start / gap.interval))
+    if state.passed_in_slot < gap.count and owned:
         return None
-    return max(0.0, gap.start + (use.slot + 1) * gap.interval - now)
+    return max(0.0, gap.start + (state.slot + 1) * gap.interval - now)
--- a/harepick/gapping/screen.py
+++ b/harepick/gapping/screen.py
@@ -1,8 +1,8 @@
-"""The screen that the core asks before it books a call: the gaps of one instance, as configured.
+"""The gaps of one instance as the core's admission check.
 
-Owns a `Gaps` and the rows that set it. Pure: time is an argument, in Unix seconds. `apply` takes the rows of
-a configuration read anew and changes only what changed; a row that is unchanged keeps its start, its end and
-the turns used of its slot.
+Owns a `Gaps` and the configured rows it is built from. Pure: time is an argument, in Unix seconds. After a
+reload, `apply` changes only what changed: an unchanged row keeps its start, its end and the calls that passed
+in its current slot.
 """
 
 from __future__ import annotations
@@ -12,109 +12,125 @@
 from math import floor, inf
 
 from harepick.gapping.config import GapRow
-from harepick.gapping.gaps import BLOCK_ALL, MAX_BROAD, Call, Gap, GapError, Gaps, SlotOwnership, check_gap
+from harepick.gapping.gaps import (
+    BLOCK_ALL,
+    MAX_BROAD_GAPS,
+    Call,
+    Gap,
+    GapError,
+    Gaps,
+    SlotOwnership,
+    check_gap,
+)
 
-EXPIRE_EVERY = 1.0  # seconds between looks for gaps that are over
+EXPIRY_CHECK_INTERVAL_S = 1.0
 
 
 class GapScreen:
-    """`harepick.core.messages.Screen` over the gaps of this instance; `zone` is the instance's own."""
+    """Implements `harepick.core.messages.Screen` by the gaps of this instance."""
 
     def __init__(self, zone: str = "", seed: int = 0, owns: SlotOwnership | None = None) -> None:
-        """`owns`: over a fleet, whether this instance owns a gap's slot (`slot_allocation.py`); alone, every
-        slot."""
+        """`zone` is the zone of this instance. `owns` tells whether this instance owns a slot of a gap
+        (`slot_allocation.py`); without it the instance owns every slot."""
         self._zone = zone
         self.owns = owns
-        self._rng = random.Random(seed)  # spreads the come-back: refused callers must not return together
+        self._rng = random.Random(seed)  # spreads Retry-After, so that refused callers don't return together
         self._gaps = Gaps()
         self._rows: dict[str, tuple[GapRow, Gap]] = {}
-        self._looked = -inf
+        self._expiry_checked_at = -inf
 
     def __len__(self) -> int:
         return len(self._gaps)
 
     def apply(self, rows: Sequence[GapRow], now: float, classes: Iterable[str] = ()) -> dict[str, list[str]]:
-        """Sets new and changed gaps, lifts those that are no longer there; says which did what. A gap may
-        name only a class of `classes`, if any are given.
+        """Replaces the configured rows; returns the ids of the gaps that were set, changed and lifted.
 
-        Raises `GapError` naming the row's id and key, and then changes nothing."""
-        known = tuple(classes)
-        wanted: dict[str, Gap] = {}
+        A gap may name only a class in `classes`, unless that is empty. Raises `GapError`, naming the id and
+        the key of the invalid row, and then changes nothing.
+        """
+        known_classes = tuple(classes)
+        new_gaps: dict[str, Gap] = {}
         for row in rows:
-            kept = self._rows.get(row.id)
-            if kept and kept[0] == row:
+            old = self._rows.get(row.id)
+            if old and old[0] == row:
                 continue
-            gap = _gap(row, kept[1].start if kept else now)
+            gap = _gap_from_row(row, old[1].start if old else now)
             try:
-                check_gap(gap, now, known)
+                check_gap(gap, now, known_classes)
             except GapError as error:
                 raise GapError(f"gap {row.id!r}: {error}") from None
-            wanted[row.id] = gap
-        told: dict[str, list[str]] = {"set": [], "changed": [], "lifted": []}
+            new_gaps[row.id] = gap
+        changes: dict[str, list[str]] = {"set": [], "changed": [], "lifted": []}
         for name in [name for name in self._rows if name not in {row.id for row in rows}]:
             self._gaps.lift(name)
             del self._rows[name]
-            told["lifted"].append(name)
+            changes["lifted"].append(name)
         for row in rows:
-            if row.id in wanted:
-                told["changed" if row.id in self._rows else "set"].append(row.id)
-                self._gaps.set(wanted[row.id], now, known)
-                self._rows[row.id] = (row, wanted[row.id])
-        return told
+            if row.id in new_gaps:
+                changes["changed" if row.id in self._rows else "set"].append(row.id)
+                self._gaps.set(new_gaps[row.id], now, known_classes)
+                self._rows[row.id] = (row, new_gaps[row.id])
+        return changes
 
     def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
-        """None if the call passes every gap that counts for it; else the seconds to stay away: until the gap
-        that refused has a turn again, and a share of one interval more drawn from the seed (for a gap that
-        passes none, until its end, or 0 if it has none)."""
-        if now - self._looked >= EXPIRE_EVERY:
-            self._looked = now
+        """None if the call passes every gap that applies to it, or else its Retry-After in seconds.
+
+        That is the time until the gap that refused it may pass a call, plus a random part of one interval.
+        For a gap that passes no call it is the time until the gap ends, or 0 if it has no end.
+        """
+        if now - self._expiry_checked_at >= EXPIRY_CHECK_INTERVAL_S:
+            self._expiry_checked_at = now
             for gap in self._gaps.expire(now):
                 self._rows.pop(gap.id, None)
-        verdict = self._gaps.decide(Call(called, class_name, self._zone), now, self.owns)
-        if verdict.passed:
+        decision = self._gaps.decide(Call(called, class_name, self._zone), now, self.owns)
+        if decision.passed:
             return None
-        interval = self._rows[verdict.gap][1].interval
+        interval = self._rows[decision.gap][1].interval
         if interval == BLOCK_ALL:
-            return verdict.come_back
-        return verdict.come_back + self._rng.random() * interval  # docs/design/gapping.md: come back
+            return decision.retry_after
+        return decision.retry_after + self._rng.random() * interval  # docs/design/gapping.md
 
     def ended(self, called: str, good: bool) -> None:
-        """Nothing rests on it here."""
+        """Required by `Screen`; gaps do not depend on the outcome of calls."""
 
     def explain(self, called: str, class_name: str, now: float) -> list[Gap]:
-        """The gaps that count for such a call, most specific first; takes no turn."""
+        """The gaps that apply to such a call, most specific first; counts nothing."""
         return [gap for gap, _ in self._gaps.explain(Call(called, class_name, self._zone), now)]
 
     def uses(self) -> list[tuple[str, float, int]]:
-        """By gap: its id, interval in seconds, and calls offered since the start."""
+        """For each gap: its id, interval in seconds, and calls offered since the start."""
         counts = self._gaps.counts()
         return [
             (name, gap.interval, counts[name][0]) for name, (_, gap) in self._rows.items() if name in counts
         ]
 
     def counts(self) -> Mapping[str, tuple[int, int, int]]:
-        """By gap: calls offered, passed, and refused by it."""
+        """Gap id -> calls offered, passed, and refused by that gap."""
         return self._gaps.counts()
 
 
 def check_rows(rows: Sequence[GapRow], where: str, classes: Iterable[str]) -> None:
-    """Whatever is wrong with rows at any time: a revision of the store is checked with it before anybody
-    acts on it. Raises `GapError`, naming the row under the key `where`, and its key."""
-    known, broad = tuple(classes), 0
-    for n, row in enumerate(rows):
+    """Checks rows for errors that do not depend on the time, before a configuration is stored.
+
+    Raises `GapError`, which names the row under the key `where` and its key that is wrong.
+    """
+    known_classes, broad_count = tuple(classes), 0
+    for position, row in enumerate(rows):
         try:
-            check_gap(_gap(row, 0.0), -inf, known)
-            broad += not row.number and not row.prefix
-            if broad > MAX_BROAD:
-                raise GapError(f"prefix: there are over {MAX_BROAD} gaps without one and without a number")
+            check_gap(_gap_from_row(row, 0.0), -inf, known_classes)
+            broad_count += not row.number and not row.prefix
+            if broad_count > MAX_BROAD_GAPS:
+                raise GapError(f"prefix: more than {MAX_BROAD_GAPS} gaps have neither prefix nor number")
         except GapError as error:
-            raise GapError(f"{where}[{n}].{error}") from None
+            raise GapError(f"{where}[{position}].{error}") from None
+
 
+def _gap_from_row(row: GapRow, start: float) -> Gap:
+    """Builds the gap of a row that first took effect at `start`, or at its `since` if given.
 
-def _gap(row: GapRow, start: float) -> Gap:
-    """A changed row keeps its start: its slots, and the time it runs, count from when it was first set. The
-    start is on the grid of the interval from the Unix epoch, so that instances that set the same gap at
-    different moments agree on its slots."""
+    The end counts from that moment. The start is rounded down to a multiple of the interval since the Unix
+    epoch, so that instances that set the same gap at different moments agree on its slots.
+    """
     start = row.since or start
     end = min(row.until, start + row.for_s)
     if 0 < row.interval < BLOCK_ALL:
--- a/harepick/gapping/slot_allocation.py
+++ b/harepick/gapping/slot_allocation.py
@@ -1,9 +1,8 @@
-"""The allotment of a gap's turns over the fleet: which instance owns which slots. Pure and deterministic.
+"""Allocates the slots of gaps to the instances of a fleet: each slot has one owner. Pure and deterministic.
 
-`docs/design/gapping.md`, "Turns over the fleet". Every replica applies the same `SlotRequest`s in the same
-order and comes to the same owners. Nothing depends on a clock, on chance or on who applies it; a
-`SlotRequest` carries the slot from which its instance could still use turns. One instance's part is
-`slot_requests.py`.
+Every replica applies the same `SlotRequest`s in the same order and so derives the same owners. The result
+depends on no clock, on no random number and not on the replica; a `SlotRequest` carries the first slot that
+its instance could still use. `slot_requests.py` is one instance's side. Design: `docs/design/gapping.md`.
 
 Slots are numbered from the Unix epoch: slot n is [n * interval, (n + 1) * interval).
 """
@@ -13,21 +12,21 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-MAX_BLOCK = 16  # slots in one block: what an instance that dies can take with it
-DEMAND_MEMORY = 8  # asks of a gap whose demand is remembered, the oldest forgotten first
-MAX_GAPS = 4_096  # gaps with an allotment; the one asked for longest ago is forgotten
-MAX_HELD = 8  # blocks that one instance keeps of a gap, the latest; it asks for one at a time
+MAX_BLOCK = 16  # slots per block; bounds the slots that stay unused when their owner fails
+MAX_DEMANDS = 8  # instances per gap whose demand is kept; the one that requested longest ago is dropped
+MAX_GAPS = 4_096  # gaps with an allocation; the one requested longest ago is dropped
+MAX_BLOCKS_HELD = 8  # latest blocks kept per gap and instance; an instance requests one at a time
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequest:
-    """An instance wants turns of `gap` from slot `first` on; `demand`: its calls offered a second lately."""
+    """An instance requests slots of `gap` from slot `first` on; `demand` is its offered calls per second."""
 
     instance: str
     gap: str
     first: int
     demand: float
-    most: int = MAX_BLOCK  # slots in the block that it is given
+    most: int = MAX_BLOCK  # upper bound of the slots in the block
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,6 +40,7 @@
 
     @property
     def end(self) -> int:
+        """The first slot after the block."""
         return self.first + self.length
 
     def __contains__(self, slot: int) -> bool:
@@ -48,41 +48,46 @@
 
 
 @dataclass(slots=True)
-class _Gap:
-    cursor: int = 0  # the first slot that nobody owns yet
-    demand: OrderedDict[str, float] = field(default_factory=OrderedDict)  # instance -> its last told demand
+class _GapAllocation:
+    """The allocation of one gap."""
+
+    cursor: int = 0  # the first slot without an owner
+    demand: OrderedDict[str, float] = field(default_factory=OrderedDict)  # instance -> last reported demand
     held: dict[str, list[SlotBlock]] = field(default_factory=dict)  # instance -> its latest blocks
 
 
 class SlotAllocator:
-    """Owns the cursor of each gap and the demand last told by each instance."""
+    """The slot allocation of all gaps."""
 
     def __init__(self) -> None:
-        self._gaps: OrderedDict[str, _Gap] = OrderedDict()
+        self._gaps: OrderedDict[str, _GapAllocation] = OrderedDict()
+
+    def apply(self, request: SlotRequest) -> SlotBlock:
+        """Allocates a block to the requesting instance.
 
-    def apply(self, ask: SlotRequest) -> SlotBlock:
-        """The block that this ask is given: from the cursor (or `ask.first`, if later), as long as the
-        asker's share of the demand says, and never over a slot that another owns."""
-        state = self._gaps.pop(ask.gap, None) or _Gap()
-        self._gaps[ask.gap] = state
+        It starts at the cursor, or at `request.first` if that is later, so it never covers a slot that
+        another instance owns. Its length is in proportion to the instance's share of the demand.
+        """
+        state = self._gaps.pop(request.gap, None) or _GapAllocation()
+        self._gaps[request.gap] = state
         while len(self._gaps) > MAX_GAPS:
             self._gaps.popitem(last=False)
-        state.demand.pop(ask.instance, None)
-        state.demand[ask.instance] = max(0.0, ask.demand)
-        while len(state.demand) > DEMAND_MEMORY:
+        state.demand.pop(request.instance, None)
+        state.demand[request.instance] = max(0.0, request.demand)
+        while len(state.demand) > MAX_DEMANDS:
             state.demand.popitem(last=False)
         total = sum(state.demand.values())
-        share = state.demand[ask.instance] / total if total > 0 else 1.0 / len(state.demand)
-        most = max(1, min(MAX_BLOCK, ask.most))
-        length = max(1, round(share * most))
-        first = max(state.cursor, ask.first)
+        share = state.demand[request.instance] / total if total > 0 else 1.0 / len(state.demand)
+        max_length = max(1, min(MAX_BLOCK, request.most))
+        length = max(1, round(share * max_length))
+        first = max(state.cursor, request.first)
         state.cursor = first + length
-        block = SlotBlock(ask.gap, ask.instance, first, length)
-        held = state.held.setdefault(ask.instance, [])
+        block = SlotBlock(request.gap, request.instance, first, length)
+        held = state.held.setdefault(request.instance, [])
         held.append(block)
-        del held[:-MAX_HELD]
+        del held[:-MAX_BLOCKS_HELD]
         for name in [name for name in state.held if name not in state.demand]:
-            del state.held[name]  # an instance forgotten by the demand: its blocks are long over
+            del state.held[name]  # its demand was dropped: its blocks ended long ago
         return block
 
     def blocks(self, gap: str, instance: str) -> list[SlotBlock]:
@@ -91,29 +96,34 @@
         return list(state.held.get(instance, ())) if state else []
 
     def dump(self) -> list[tuple[str, int, list[tuple[str, float]], list[tuple[str, int, int]]]]:
-        """The whole state as plain rows, for a snapshot: gap, cursor, demand, blocks."""
+        """The whole state for a snapshot, one row per gap: gap, cursor, demand, blocks."""
         return [
             (
                 name,
                 state.cursor,
                 list(state.demand.items()),
-                [(b.instance, b.first, b.length) for held in state.held.values() for b in held],
+                [
+                    (block.instance, block.first, block.length)
+                    for held in state.held.values()
+                    for block in held
+                ],
             )
             for name, state in self._gaps.items()
         ]
 
     def load(self, rows: list[tuple[str, int, list[tuple[str, float]], list[tuple[str, int, int]]]]) -> None:
-        """The state of `dump`, in place of this one."""
+        """Replaces the state by that of a `dump`."""
         self._gaps = OrderedDict()
         for name, cursor, demand, blocks in rows:
-            state = self._gaps[name] = _Gap(cursor, OrderedDict(demand))
+            state = self._gaps[name] = _GapAllocation(cursor, OrderedDict(demand))
             for instance, first, length in blocks:
                 state.held.setdefault(instance, []).append(SlotBlock(name, instance, first, length))
 
     def cursor(self, gap: str) -> int:
+        """The first slot of the gap without an owner; 0 for a gap without an allocation."""
         state = self._gaps.get(gap)
         return state.cursor if state else 0
 
     def forget(self, gap: str) -> None:
-        """A gap that was lifted: a new one of the same id begins anew."""
+        """Drops the allocation of a lifted gap; a new gap of the same id starts empty."""
         self._gaps.pop(gap, None)
--- a/harepick/gapping/slot_requests.py
+++ b/harepick/gapping/slot_requests.py
@@ -1,7 +1,7 @@
-"""One instance's part in the turns of gaps over the fleet: whose a slot is, and what to ask for. No I/O.
+"""One instance's slots of the gaps that a fleet shares: which it owns and which to request. No I/O.
 
-The blocks are the store's (`slot_allocation.py`), as far as this instance has applied them.
-`docs/design/gapping.md`, "Turns over the fleet".
+Slot blocks come from the store (`slot_allocation.py`), as far as this instance has applied its log. Design:
+`docs/design/gapping.md`.
 """
 
 from __future__ import annotations
@@ -12,63 +12,70 @@
 from harepick.gapping.gaps import BLOCK_ALL
 from harepick.gapping.slot_allocation import MAX_BLOCK, SlotBlock, SlotRequest
 
-LEAD = 0.4  # seconds before its last block ends when an instance asks for the next: a commit, and a hiccup
-SPAN = 2.0  # seconds that one block may cover: so long demand that has gone elsewhere holds turns
-MEMORY = 1.0  # seconds over which demand is averaged
-IDLE = 0.05  # calls a second under which an instance has no use for turns
-PATIENCE = 0.5  # seconds after which what was asked for is asked for again: it may have been lost
+REQUEST_LEAD_S = 0.4  # before the last block ends, the next is requested: covers a commit and a short stall
+MAX_BLOCK_SPAN_S = 2.0  # of one block: for so long an instance without demand may still own slots
+DEMAND_AVERAGING_S = 1.0  # time constant of the demand
+MIN_DEMAND_PER_S = 0.05  # calls; an instance with less requests no slots
+REQUEST_TIMEOUT_S = 0.5  # after which a request that may be lost is sent again
 
-Use = tuple[str, float, int]  # gap, interval in seconds, calls offered since the start
+GapUse = tuple[str, float, int]  # gap, interval in seconds, calls offered since the start
 
 
 def slot_key(gap: str, interval: float) -> str:
-    """What the store keeps a gap's turns under: slots of another interval are other turns."""
+    """The key of a gap's slots in the store; another interval has other slots."""
     return f"{gap}@{interval:g}"
 
 
 class SlotRequester:
-    """Owns what this instance asked for last, and the demand that it sees."""
+    """This instance's demand and its last requests for slots."""
 
     def __init__(self, instance: str, blocks: Callable[[str, str], list[SlotBlock]], started: float) -> None:
-        """`blocks` tells the committed ones of a coin and an instance; `started`: Unix time. Turns of the
-        slot in which the process started, and before, may have been used by the one before it."""
-        self._me, self._blocks, self._started = instance, blocks, started
+        """`blocks(slot_key, instance)` returns committed blocks. `started` is the start of the process in
+        Unix seconds: its predecessor may have used the slots up to and including that moment's.
+        """
+        self._instance, self._blocks, self._started = instance, blocks, started
         self._intervals: dict[str, float] = {}
-        self._seen: dict[str, tuple[float, int, float]] = {}  # gap -> when, offered, calls a second
-        self._asked: dict[str, tuple[float, int]] = {}  # coin -> when, and the end that it had
+        self._samples: dict[
+            str, tuple[float, int, float]
+        ] = {}  # gap -> time, calls offered, calls per second
+        self._requested: dict[str, tuple[float, int]] = {}  # slot key -> time, end of the last block then
 
     def owns(self, gap: str, slot: int) -> bool:
+        """Whether this instance may use that slot (from the Unix epoch): it owns it and started before it."""
         interval = self._intervals.get(gap)
         if interval is None or slot <= floor(self._started / interval):
             return False
-        return any(slot in block for block in self._blocks(slot_key(gap, interval), self._me))
+        return any(slot in block for block in self._blocks(slot_key(gap, interval), self._instance))
 
-    def due_requests(self, now: float, uses: Iterable[Use]) -> Iterator[SlotRequest]:
-        """What is due to be asked for at Unix time `now`; to be called some times a second."""
+    def due_requests(self, now: float, uses: Iterable[GapUse]) -> Iterator[SlotRequest]:
+        """Yields the requests that are due at `now` (Unix seconds); to be called several times a second."""
         uses = list(uses)
         self._intervals = {gap: interval for gap, interval, _ in uses if 0 < interval < BLOCK_ALL}
-        self._seen = {gap: row for gap, row in self._seen.items() if gap in self._intervals}
+        self._samples = {gap: sample for gap, sample in self._samples.items() if gap in self._intervals}
         for gap, interval, offered in uses:
             if gap not in self._intervals:
                 continue
             demand = self._demand(gap, offered, now)
             slot = floor(now / interval)
-            name = slot_key(gap, interval)
-            end = max((block.end for block in self._blocks(name, self._me)), default=slot)
-            if demand < IDLE or end > slot + 1 + ceil(LEAD / interval):
+            key = slot_key(gap, interval)
+            end = max((block.end for block in self._blocks(key, self._instance)), default=slot)
+            if demand < MIN_DEMAND_PER_S or end > slot + 1 + ceil(REQUEST_LEAD_S / interval):
                 continue
-            when, had = self._asked.get(name, (float("-inf"), -1))
-            if had == end and now - when < PATIENCE:
-                continue  # the answer is on its way
-            self._asked[name] = (now, end)
-            most = max(1, min(MAX_BLOCK, round(SPAN / interval)))
-            yield SlotRequest(self._me, name, slot + 1, demand, most)
+            requested_at, end_then = self._requested.get(key, (float("-inf"), -1))
+            if end_then == end and now - requested_at < REQUEST_TIMEOUT_S:
+                continue  # a request is pending
+            self._requested[key] = (now, end)
+            max_slots = max(1, min(MAX_BLOCK, round(MAX_BLOCK_SPAN_S / interval)))
+            yield SlotRequest(self._instance, key, slot + 1, demand, max_slots)
 
     def _demand(self, gap: str, offered: int, now: float) -> float:
-        when, before, rate = self._seen.get(gap, (now, 0, 0.0))
-        if now > when:
-            rate += ((offered - before) / (now - when) - rate) * (1 - exp(-(now - when) / MEMORY))
-        elif gap not in self._seen and offered:
-            rate = IDLE  # the first calls: something is wanted here
-        self._seen[gap] = (now, offered, rate)
+        """Calls offered per second, as an exponential moving average; `offered` is the total so far."""
+        sampled_at, offered_then, rate = self._samples.get(gap, (now, 0, 0.0))
+        if now > sampled_at:
+            rate += ((offered - offered_then) / (now - sampled_at) - rate) * (
+                1 - exp(-(now - sampled_at) / DEMAND_AVERAGING_S)
+            )
+        elif gap not in self._samples and offered:
+            rate = MIN_DEMAND_PER_S  # the first calls: enough to request slots at once
+        self._samples[gap] = (now, offered, rate)
         return rate
--- a/harepick/gapping/start_times.py
+++ b/harepick/gapping/start_times.py
@@ -1,8 +1,8 @@
-"""When the gaps of a store's configuration began: written into it, so that `for_s` goes on over a restart.
+"""Writes the start times of gaps into a store's configuration, so that `for_s` spans restarts.
 
-An operator writes how long a gap runs; every process that reads it would count anew. So whoever takes a
-configuration in writes the moment beside it (`since`, Unix seconds), once: a gap that is there already keeps
-its own, as it does at SIGHUP, whatever else of the configuration changes.
+An operator gives a gap's duration (`for_s`); every process that read it would count from its own start. So
+whoever accepts a configuration writes the start beside it once (`since`, Unix seconds). A gap that exists
+already keeps its start, as it does at SIGHUP, whatever else of the configuration changes.
 """
 
 from __future__ import annotations
@@ -13,41 +13,47 @@
 
 
 def may_need_start_times(text: str) -> bool:
-    """Whether that configuration has anything to date, at a glance: most have not, and are not parsed."""
+    """Whether a configuration may hold gaps without a start time; a cheap check that avoids parsing most."""
     return "for_s" in text
 
 
 def _rows(text: str) -> dict[str, dict[str, Any]]:
+    """Gap id -> row of a configuration."""
     rows = tomllib.loads(text).get("gap", [])
     return {row["id"]: row for row in rows if isinstance(row, dict) and isinstance(row.get("id"), str)}
 
 
-def _undated(row: Mapping[str, Any]) -> bool:
+def _needs_start_time(row: Mapping[str, Any]) -> bool:
     return "for_s" in row and "since" not in row
 
 
-def _began(row: Mapping[str, Any], before: Mapping[str, Any] | None, now: float) -> float:
-    """A gap that is the same goes on, or stays over; one that was changed goes on unless it was over."""
-    if before is None or "since" not in before or "for_s" not in before:
+def _start_time(row: Mapping[str, Any], previous: Mapping[str, Any] | None, now: float) -> float:
+    """Start of a gap whose row was `previous` before.
+
+    An unchanged gap keeps its start, also when it is over; a changed one keeps it unless it was over.
+    """
+    if previous is None or "since" not in previous or "for_s" not in previous:
         return now
-    same = {**row, "since": before["since"]} == dict(before)
-    over = before["since"] + before["for_s"] <= now
-    return float(before["since"]) if same or not over else now
+    unchanged = {**row, "since": previous["since"]} == dict(previous)
+    over = previous["since"] + previous["for_s"] <= now
+    return float(previous["since"]) if unchanged or not over else now
 
 
 def with_start_times(text: str, latest: str, now: float) -> str:
-    """The configuration with `since` in every gap that has `for_s` alone; `latest` is the one in force.
+    """Returns the configuration with `since` in every gap that has only `for_s`.
 
-    Both have passed the reader. The rest stays as it is written, comments too; blocking, for a large one."""
+    `text` and `latest`, the configuration in force, must both be valid. Everything else stays as written,
+    comments included. Blocks for long on a large configuration.
+    """
     rows = _rows(text)
-    if not any(_undated(row) for row in rows.values()):
+    if not any(_needs_start_time(row) for row in rows.values()):
         return text
     import tomlkit
 
-    known = _rows(latest)
+    known_rows = _rows(latest)
     document = tomlkit.parse(text)
     for row in document["gap"]:
-        plain = rows[row["id"]]
-        if _undated(plain):
-            row["since"] = round(_began(plain, known.get(plain["id"]), now), 3)
+        plain_row = rows[row["id"]]
+        if _needs_start_time(plain_row):
+            row["since"] = round(_start_time(plain_row, known_rows.get(plain_row["id"]), now), 3)
     return tomlkit.dumps(document)
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -14,14 +14,14 @@
 from harepick.fleet.runner import ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 from harepick.gapping.auto_gaps import (
-    HOLDS,
-    STEPS,
+    HOLD_DEMAND,
+    RELAX_STEPS,
     AutoGaps,
     AutoGapSettings,
     failed_rate_key,
     sum_call_rates,
 )
-from harepick.gapping.detector import AHEAD, MEMORY, Detector
+from harepick.gapping.detector import AVERAGING_TIME_S, RESCALE_AFTER, Detector
 from harepick.settings import SettingsError, read_operator_file, read_store_config
 
 CLAIM, OTHER = "+94112345678", "+94551112222"
@@ -43,14 +43,14 @@
     true: dict[str, float] = {}
     for passed, n in calls:
         now += passed
-        true = {number: weight * exp(-passed / MEMORY) for number, weight in true.items()}
+        true = {number: weight * exp(-passed / AVERAGING_TIME_S) for number, weight in true.items()}
         number = f"+{n}"
         true[number] = true.get(number, 0.0) + 1.0
         detector.offered(number, now)
         assert len(detector) <= most
     total = sum(true.values())
     for number, weight in true.items():
-        rate = detector.rate(number, now)[0] * MEMORY
+        rate = detector.rate(number, now)[0] * AVERAGING_TIME_S
         assert rate <= weight * (1 + 1e-6) + 1e-9
         assert rate >= weight - total / most - 1e-6, "Space-Saving: off by a part of all that came, at most"
 
@@ -67,9 +67,9 @@
     offered, bad = found[CLAIM]
     assert 30 < offered < 55 and bad == pytest.approx(offered / 2, rel=0.3)
     # Far beyond the time after which weights are counted anew.
-    later = now + 3 * AHEAD * MEMORY
+    later = now + 3 * RESCALE_AFTER * AVERAGING_TIME_S
     detector.offered(CLAIM, later)
-    assert detector.rate(CLAIM, later)[0] == pytest.approx(1 / MEMORY, rel=0.01)
+    assert detector.rate(CLAIM, later)[0] == pytest.approx(1 / AVERAGING_TIME_S, rel=0.01)
 
 
 # The rule
@@ -115,11 +115,11 @@
     fleet.run(3.0, {CLAIM: (60.0, 60.0)})
     fleet.run(60.0, {CLAIM: (60.0, 0.0)})  # what passes is served now: that is the gap's doing
     assert fleet.gaps[CLAIM][0] == 1.0 and 10 <= len(fleet.said) <= 14, "renewed, not set at each look"
-    fleet.run(60.0, {CLAIM: (HOLDS * 40.0 + 1, 0.0)})
+    fleet.run(60.0, {CLAIM: (HOLD_DEMAND * 40.0 + 1, 0.0)})
     assert fleet.gaps[CLAIM][0] == 1.0, "between the two bounds nothing changes"
     fleet.said.clear()
     fleet.run(60.0, {CLAIM: (5.0, 0.0)})
-    assert [interval for *_, interval in fleet.said] == [1.0 / 2**n for n in range(1, STEPS + 1)]
+    assert [interval for *_, interval in fleet.said] == [1.0 / 2**n for n in range(1, RELAX_STEPS + 1)]
     assert not fleet.gaps and fleet.said[-1][0] - fleet.said[0][0] > 15.0
     # And back to the whole interval at once if demand returns while it eases.
     fleet.run(3.0, {CLAIM: (60.0, 60.0)})
@@ -163,7 +163,7 @@
     fleet.run(1.0, {})  # it has not heard of anybody yet
     assert fleet.gaps[CLAIM][0] == eased and len(fleet.said) == before
     fleet.run(60.0, {CLAIM: (1.0, 0.0)})
-    assert not fleet.gaps and fleet.said[-1][2] == 1.0 / 2**STEPS
+    assert not fleet.gaps and fleet.said[-1][2] == 1.0 / 2**RELAX_STEPS
 
 
 def test_what_instances_tell_is_summed() -> None:
--- a/tests/test_gaps.py
+++ b/tests/test_gaps.py
@@ -26,7 +26,7 @@
     assert passed(gaps, CLAIM, 15.0, 15.1, 15.2) == [True, False, False]
     assert passed(gaps, "+94112345679", 15.0, 15.1) == [True, True]
     verdict = gaps.decide(Call(CLAIM), 15.25)
-    assert verdict.gap == "radio" and verdict.come_back == pytest.approx(0.75)
+    assert verdict.gap == "radio" and verdict.retry_after == pytest.approx(0.75)
 
 
 def test_a_clock_that_goes_back_gives_no_second_turn() -> None:
@@ -150,8 +150,8 @@
 
     @rule(number=st.sampled_from(NUMBERS), call_class=st.sampled_from(("", "claim")))
     def call(self, number: str, call_class: str) -> None:
-        rows = [g for g in self.set_.values() if g.fits(Call(number, call_class))]
-        rows.sort(key=lambda g: (g.specific, g.id), reverse=True)
+        rows = [g for g in self.set_.values() if g.matches(Call(number, call_class))]
+        rows.sort(key=lambda g: (g.specificity, g.id), reverse=True)
         stop = next((n + 1 for n, g in enumerate(rows) if not g.inherit), len(rows))
         passes = True
         for gap in rows[:stop]:
@@ -166,7 +166,7 @@
             self.taken[gap.id] += passes
         verdict = self.gaps.decide(Call(number, call_class), self.now)
         assert verdict.passed is passes
-        assert verdict.passed or verdict.come_back >= 0.0
+        assert verdict.passed or verdict.retry_after >= 0.0
 
     @invariant()
     def same(self) -> None:
