--- a/tests/test_gap_daemons.py
+++ b/tests/test_gap_daemons.py
@@ -1,4 +1,4 @@
-"""Gaps on a real daemon with a store: what an operator types, and what holds when a gap's time is over."""
+"""Gaps on a running instance with a store: the operator's commands, and gaps that end."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 
 @pytest.fixture
-def one(tmp_path: Path) -> Iterator[tuple[Cluster, Client, Upstream, Upstream]]:
+def instance(tmp_path: Path) -> Iterator[tuple[Cluster, Client, Upstream, Upstream]]:
+    """A cluster of one instance, a DNS client of it, its upstream (north) and a spare one (south)."""
     north, south = Upstream(), Upstream()
     cluster = Cluster(1, tmp_path, "# kept as it is written\n" + config_text(("north", north.port)))
     try:
         cluster.start()
         client = Client(cluster.daemons[0].dns_port)
-        # Adopting the configuration comes before the lease under which it is acted on.
+        # The instance adopts the configuration before it gets the lease that lets it answer look-ups.
         until(lambda: served(client, OTHER, 1) == 1, why="the first look-up served")
         yield cluster, client, north, south
     finally:
@@ -37,31 +38,31 @@
 
 
 def served(client: Client, name: str, count: int) -> int:
-    """Look-ups that were answered; none where nobody listens for now."""
+    """How many of `count` look-ups succeed; 0 if nobody listens yet."""
     with suppress(ConnectionRefusedError):
         return sum(client.ask(f"{n % 10}.{name}").rcode() == dns.rcode.NOERROR for n in range(count))
     return 0
 
 
 def test_a_gap_is_set_explained_changed_and_lifted_by_command(
-    one: tuple[Cluster, Client, Upstream, Upstream],
+    instance: tuple[Cluster, Client, Upstream, Upstream],
 ) -> None:
-    cluster, client, *_ = one
+    cluster, client, *_ = instance
     client.warm_up(20)
-    words = ("gap", "set", "radio", "--prefix", "+9411", "--interval", "none", "--reason", "appeal")
-    assert 'id = "radio"' in cluster.ask(*words, "--dry-run")
+    command = ("gap", "set", "radio", "--prefix", "+9411", "--interval", "none", "--reason", "appeal")
+    assert 'id = "radio"' in cluster.ask(*command, "--dry-run")
     assert "no gaps" in cluster.ask("gap", "list")
-    assert "set from revision 2" in cluster.ask(*words)
+    assert "set from revision 2" in cluster.ask(*command)
     assert cluster.ask("config", "get").startswith("# kept as it is written\n")
     assert served(client, RADIO, 10) == 0 and served(client, OTHER, 10) == 10
     assert "radio: counts" in cluster.ask("gap", "explain", "+94112345678")
     assert "meets no gap" in cluster.ask("gap", "explain", "+94552345678")
-    # Changed: what is not given stays as it was.
+    # A change keeps the keys that are not given.
     cluster.ask("gap", "set", "radio", "--interval", "0")
     shown = orjson.loads(cluster.ask("gap", "show", "radio", "--json"))
     assert (shown["prefix"], shown["interval_s"], shown["reason"]) == ("+9411", 0.0, "appeal")
     assert served(client, RADIO, 10) == 10
-    faulty: list[tuple[tuple[str, ...], str]] = [
+    invalid: list[tuple[tuple[str, ...], str]] = [
         (("--prefix", "+94x", "--interval", "1"), "prefix is no + and up to 15 digits"),
         (("--prefix", "+94", "--interval", "-1"), "interval_s"),
         (("--prefix", "+94", "--interval", "1", "--class", "fax"), "class is not known"),
@@ -69,39 +70,39 @@
         (("--prefix", "+94", "--interval", "x"), "no number of seconds"),
         (("--prefix", "+94", "--interval", "1", "--for", "5", "--until", "2030-01-01"), "both given"),
     ]
-    for more, why in faulty:
-        assert why in cluster.ask("gap", "set", "bad", *more, code=2), more
+    for arguments, message in invalid:
+        assert message in cluster.ask("gap", "set", "bad", *arguments, code=2), arguments
     assert "lifted from revision 4" in cluster.ask("gap", "lift", "radio")
     assert "no gap radio" in cluster.ask("gap", "lift", "radio", code=1)
-    # Once there was none left, the next gap that was set was looked at by nobody.
+    # Guards against a fault by which a gap set after the last one was lifted had no effect.
     assert served(client, RADIO, 10) == 10
     cluster.ask("gap", "set", "again", "--prefix", "+9411", "--interval", "none")
     assert served(client, RADIO, 10) == 0
 
 
-def test_a_watch_tells_of_gaps_as_they_are_set_and_changed(
-    one: tuple[Cluster, Client, Upstream, Upstream],
+def test_gap_watch_prints_gaps_as_they_are_set_and_changed(
+    instance: tuple[Cluster, Client, Upstream, Upstream],
 ) -> None:
-    cluster, *_ = one
+    cluster, *_ = instance
     cluster.ask("gap", "set", "radio", "--prefix", "+9411", "--interval", "1")
-    heard: list[str] = []
+    outputs: list[str] = []
     listener = threading.Thread(
-        target=lambda: heard.append(cluster.ask("gap", "watch", "--count", "3", "--json"))
+        target=lambda: outputs.append(cluster.ask("gap", "watch", "--count", "3", "--json"))
     )
     listener.start()
-    for n in range(2, 40):  # whenever it begins to listen, the first line is the gap that holds by then
+    for n in range(2, 40):  # the first line is the gap in force when the watch starts
         cluster.ask("gap", "set", "radio", "--interval", str(n))
         listener.join(0.01)
         if not listener.is_alive():
             break
     listener.join(20.0)
-    rows = [orjson.loads(line) for line in heard[0].splitlines()]
+    rows = [orjson.loads(line) for line in outputs[0].splitlines()]
     assert [row["what"] for row in rows] == ["set", "changed", "changed"]
     intervals = [row["interval_s"] for row in rows]
     assert intervals == sorted(intervals) and {row["id"] for row in rows} == {"radio"}
 
 
-def test_an_end_by_command_takes_the_place_of_one_written_by_hand() -> None:
+def test_an_end_set_by_command_replaces_a_duration_in_the_file() -> None:
     from harepick.cli.toml_rows import changed
 
     text = '[[gap]]\nid = "a"\nprefix = "+1"\ninterval_s = 1\nfor_s = 60\n'
@@ -109,38 +110,40 @@
     assert "for_s = 60" in changed(text, "gap", {"id": "a", "interval_s": 2})
 
 
-def test_what_became_of_gaps_from_one_revision_to_the_next() -> None:
+def test_gap_watch_compares_the_gaps_of_two_revisions() -> None:
     from harepick.cli.gap import _news
 
-    one, two, changed = (
+    first, second, changed = (
         GapRow("a", 1.0, prefix="+1"),
         GapRow("b", 1.0, prefix="+2"),
         GapRow("a", 2.0, prefix="+1"),
     )
-    assert _news({}, {"a": one}) == [("set", one)]
-    assert _news({"a": one, "b": two}, {"a": changed}) == [("lifted", two), ("changed", changed)]
-    assert _news({"a": one}, {"a": one}) == []
+    assert _news({}, {"a": first}) == [("set", first)]
+    assert _news({"a": first, "b": second}, {"a": changed}) == [("lifted", second), ("changed", changed)]
+    assert _news({"a": first}, {"a": first}) == []
 
 
-def test_a_faulty_gap_never_becomes_a_revision(one: tuple[Cluster, Client, Upstream, Upstream]) -> None:
-    """It was acknowledged, and then turned down by every instance with all else that it said."""
-    cluster, _, north, _ = one
+def test_an_invalid_gap_never_becomes_a_revision(
+    instance: tuple[Cluster, Client, Upstream, Upstream],
+) -> None:
+    """Guards against a configuration that the store acknowledges and every instance then refuses whole."""
+    cluster, _, north, _ = instance
     text = config_text(("north", north.port))
     path = cluster.folder / "faulty.toml"
-    for row, why in (('number = "+94a"', "number is no"), ('class = "fax"', "class is not known")):
+    for row, message in (('number = "+94a"', "number is no"), ('class = "fax"', "class is not known")):
         path.write_text(text + f'[[gap]]\nid = "x"\ninterval_s = 1.0\n{row}\n')
-        assert why in cluster.ask("config", "set", str(path), code=1)
+        assert message in cluster.ask("config", "set", str(path), code=1)
 
 
-def test_a_gap_whose_time_is_over_holds_up_no_change_and_no_restart(
-    one: tuple[Cluster, Client, Upstream, Upstream],
+def test_a_gap_that_is_over_blocks_neither_a_change_nor_a_restart(
+    instance: tuple[Cluster, Client, Upstream, Upstream],
 ) -> None:
-    cluster, client, north, south = one
+    cluster, client, north, south = instance
     (daemon,) = cluster.daemons
     client.warm_up(20)
     cluster.ask("gap", "set", "radio", "--prefix", "+9411", "--interval", "none", "--for", "4")
     assert served(client, RADIO, 5) == 0
-    # It goes on over a restart, for as long as it had left.
+    # Over a restart it keeps its end.
     daemon.kill()
     daemon.start()
     until(lambda: served(client, OTHER, 1) == 1, why="the restart")
@@ -149,37 +152,37 @@
     until(lambda: served(client, RADIO, 1) == 1, 8.0, "the gap's end")
     assert orjson.loads(cluster.ask("gap", "show", "radio", "--json"))["over"] is True
     assert "is over: give --for" in cluster.ask("gap", "set", "radio", "--interval", "1", code=2)
-    # What comes after takes effect, with the row still there.
+    # A later change takes effect although the row is still there.
     text = cluster.ask("config", "get").replace(f":{north.port}", f":{south.port}")
     path = cluster.folder / "next.toml"
     path.write_text(text)
     cluster.ask("config", "set", str(path))
-    before, time_out = len(south.came()), time.monotonic() + 8.0
-    while len(south.came()) == before and time.monotonic() < time_out:
+    count_before, deadline = len(south.came()), time.monotonic() + 8.0
+    while len(south.came()) == count_before and time.monotonic() < deadline:
         client.ask(OTHER)
-    assert len(south.came()) > before, "the change never took effect"
+    assert len(south.came()) > count_before, "the change did not take effect"
     daemon.kill()
     daemon.start()
     until(lambda: served(client, OTHER, 1) == 1, why="a start with a gap that is over")
 
 
-def test_a_gap_written_with_for_s_goes_on_over_a_restart_and_over_other_changes(
-    one: tuple[Cluster, Client, Upstream, Upstream],
+def test_a_gap_with_for_s_keeps_its_start_over_a_restart_and_other_changes(
+    instance: tuple[Cluster, Client, Upstream, Upstream],
 ) -> None:
-    """Its time began anew with each process that read it."""
-    cluster, client, north, south = one
+    """Guards against a duration that counts again from the start of each process that reads it."""
+    cluster, client, north, south = instance
     (daemon,) = cluster.daemons
     client.warm_up(20)
     path = cluster.folder / "by_hand.toml"
-    gap = '[[gap]]\nid = "radio"\nprefix = "+9411"\ninterval_s = "none"\nfor_s = 5  # seconds\n'
-    path.write_text(config_text(("north", north.port)) + gap)
-    began = time.time()
+    gap_text = '[[gap]]\nid = "radio"\nprefix = "+9411"\ninterval_s = "none"\nfor_s = 5  # seconds\n'
+    path.write_text(config_text(("north", north.port)) + gap_text)
+    set_at = time.time()
     cluster.ask("config", "set", str(path))
     shown = orjson.loads(cluster.ask("gap", "show", "radio", "--json"))
-    assert began - 0.1 <= shown["since"] <= time.time()
+    assert set_at - 0.1 <= shown["since"] <= time.time()
     assert "for_s = 5  # seconds" in cluster.ask("config", "get")
     # Another change from the same file, and a restart.
-    path.write_text(config_text(("north", south.port)) + gap)
+    path.write_text(config_text(("north", south.port)) + gap_text)
     cluster.ask("config", "set", str(path))
     daemon.kill()
     daemon.start()
@@ -187,7 +190,7 @@
     assert orjson.loads(cluster.ask("gap", "show", "radio", "--json"))["since"] == shown["since"]
     until(lambda: served(client, RADIO, 1) == 1, 8.0, "the gap's end")
     assert time.time() >= shown["since"] + 5.0
-    # Over is over, whatever else changes: the same row does not begin anew.
-    path.write_text(config_text(("north", north.port)) + gap)
+    # An unchanged row that is over does not start again, whatever else changes.
+    path.write_text(config_text(("north", north.port)) + gap_text)
     cluster.ask("config", "set", str(path))
     assert orjson.loads(cluster.ask("gap", "show", "radio", "--json"))["over"] is True
--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -1,4 +1,4 @@
-"""Number gapping on the platform's front: the real program with gaps in its configuration, and SIGHUP."""
+"""Number gapping in the running program: platform and ENUM, gaps in the configuration, and SIGHUP."""
 
 from __future__ import annotations
 
@@ -18,93 +18,106 @@
 GAP = {"id": "radio", "number": CLAIM.decode(), "interval_s": 0.5, "reason": "appeal"}
 
 
-def offered(caller: peers.Caller, number: bytes, count: int, gap: float) -> list[bytes]:
+def offered(caller: peers.Caller, number: bytes, count: int, interval: float) -> list[bytes]:
+    """Makes `count` calls to the number, `interval` seconds apart; returns their ids."""
     calls = []
     for _ in range(count):
         calls.append(caller.call(time_limit_ms=5000, number=number))
-        time.sleep(gap)
+        time.sleep(interval)
     return calls
 
 
-def invites(place: peers.Platform, within: float = 0.5) -> list[sip.Message]:
-    """Every set-up that reached the server on its lines, each answered so that its call stands."""
+def invites(platform: peers.Platform, within: float = 0.5) -> list[sip.Message]:
+    """Accepts every set-up that reaches the server, until none arrives for `within` seconds."""
     found = []
-    while asked := place.servers[0].invited(within):
-        peers.reply(*asked, 200, b"answer")
-        found.append(asked[1])
+    while request := platform.servers[0].invited(within):
+        peers.reply(*request, 200, b"answer")
+        found.append(request[1])
     return found
 
 
-def test_one_call_a_slot_reaches_the_server_the_rest_are_told_when_to_come_back() -> None:
-    place = peers.Platform()
-    place.config["gaps"] = [GAP]
-    with place.run() as running:
-        caller = peers.Caller(place.port)
-        began = time.monotonic()
-        calls = offered(caller, CLAIM, 12, 0.1)  # 1.2 s: three slots of 0.5 s at most
-        reached = invites(place)
-        spent = time.monotonic() - began
-        refused = [caller.final_answer(call) for call in calls if call.hex() not in {m.call for m in reached}]
-        assert refused and all(m.parameters[binary.CAUSE] == bytes([42]) for m in refused)
-        seen = peers.metrics(place.ops)
-        gap = 'edge_gw_gap_calls_total{gap="radio",result="%s"}'
-        passed, gapped = seen[gap % "passed"], seen[gap % "refused"]
-        assert seen[gap % "offered"] == 12 and passed + gapped == 12
-        assert 1 <= len(reached) <= passed <= int(spent / 0.5) + 2  # one a slot; the module may refuse too
-        assert gapped == running.counters()["answers.gapped"] >= 12 - int(spent / 0.5) - 2
-        told_back = sorted(int(m.parameters[binary.RETRY_AFTER]) for m in refused)
-        assert told_back[0] > 0 and told_back[int(gapped) - 1] <= 1000  # the slot's rest and one more at most
-        assert len(set(told_back)) > 1, "refused callers are not told to come back together"
+def test_one_call_per_slot_reaches_the_server_and_the_rest_get_a_retry_time() -> None:
+    platform = peers.Platform()
+    platform.config["gaps"] = [GAP]
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
+        started = time.monotonic()
+        calls = offered(caller, CLAIM, 12, 0.1)  # over 1.2 s
+        reached = invites(platform)
+        elapsed = time.monotonic() - started
+        refused = [
+            caller.final_answer(call)
+            for call in calls
+            if call.hex() not in {message.call for message in reached}
+        ]
+        assert refused and all(message.parameters[binary.CAUSE] == bytes([42]) for message in refused)
+        metrics = peers.metrics(platform.ops)
+        series = 'edge_gw_gap_calls_total{gap="radio",result="%s"}'
+        passed, gapped = metrics[series % "passed"], metrics[series % "refused"]
+        assert metrics[series % "offered"] == 12 and passed + gapped == 12
+        assert (
+            1 <= len(reached) <= passed <= int(elapsed / 0.5) + 2
+        )  # one per slot; overload control may refuse some
+        assert gapped == running.counters()["answers.gapped"] >= 12 - int(elapsed / 0.5) - 2
+        retry_times = sorted(int(message.parameters[binary.RETRY_AFTER]) for message in refused)
+        assert (
+            retry_times[0] > 0 and retry_times[int(gapped) - 1] <= 1000
+        )  # ms: rest of the slot and one more
+        assert len(set(retry_times)) > 1, "all refused callers would return at the same moment"
         others = offered(caller, OTHER, 3, 0.0)  # another number is not gapped
-        more = invites(place)
-        assert {m.call for m in more} == {call.hex() for call in others}
+        reached_others = invites(platform)
+        assert {message.call for message in reached_others} == {call.hex() for call in others}
 
 
-def test_sighup_lifts_a_gap_and_a_bad_one_changes_nothing() -> None:
-    place = peers.Platform()
-    place.config["gaps"] = [{**GAP, "interval_s": "none"}]
-    with place.run() as running:
-        caller = peers.Caller(place.port)
+def test_sighup_lifts_a_gap_and_an_invalid_one_changes_nothing() -> None:
+    platform = peers.Platform()
+    platform.config["gaps"] = [{**GAP, "interval_s": "none"}]
+    with platform.run() as running:
+        caller = peers.Caller(platform.port)
         assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
-        place.config["gaps"] = [{**GAP, "interval_s": 1, "until": 1_000}]  # an end in the past
-        place.path.write_text(json.dumps(place.config))
+        platform.config["gaps"] = [{**GAP, "interval_s": 1, "until": 1_000}]  # an end in the past
+        platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
-        said = peers.until(lambda: running.events("reload_failed"), why="the refusal")[0]
-        assert "gaps" in said["error"] and "end is past" in said["error"]
+        event = peers.until(lambda: running.events("reload_failed"), why="the refusal")[0]
+        assert "gaps" in event["error"] and "end is past" in event["error"]
         assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
-        del place.config["gaps"]
-        place.path.write_text(json.dumps(place.config))
+        del platform.config["gaps"]
+        platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
-        told = peers.until(lambda: running.events("gaps")[1:], why="the lift")[0]
-        assert told["lifted"] == ["radio"] and told["now"] == 0
+        changes = peers.until(lambda: running.events("gaps")[1:], why="the lift")[0]
+        assert changes["lifted"] == ["radio"] and changes["now"] == 0
         call = caller.call(number=CLAIM)
-        server = place.servers[0].accept()
+        server = platform.servers[0].accept()
         assert peers.invite(server).call == call.hex()
 
 
-def test_a_bad_gap_at_the_start_is_one_line_that_names_the_key() -> None:
-    place = peers.Platform()
-    place.config["gaps"] = [{**GAP, "interval_s": -1}]
-    with place.run() as running:
+def test_an_invalid_gap_at_startup_is_reported_in_one_line_with_its_key() -> None:
+    platform = peers.Platform()
+    platform.config["gaps"] = [{**GAP, "interval_s": -1}]
+    with platform.run() as running:
         assert running.process.wait(5) == 2
         assert "gaps[0].interval_s" in running.text() and running.text().count("\n") == 1
 
 
-def test_on_enum_a_gapped_number_gets_servfail_with_the_time_and_sighup_lifts_it() -> None:
+def test_enum_answers_a_gapped_number_with_servfail_and_sighup_lifts_the_gap() -> None:
     upstream = Upstream()
     front = Front(upstream)
-    plain = front.path.read_text()
-    front.path.write_text(plain + '[[gap]]\nid = "radio"\nnumber = "+94111234"\ninterval_s = 1.0\n')
+    text_without_gap = front.path.read_text()
+    front.path.write_text(
+        text_without_gap + '[[gap]]\nid = "radio"\nnumber = "+94111234"\ninterval_s = 1.0\n'
+    )
     with front.run() as running:
         client = Client(front.port)
         answers = [client.ask() for _ in range(4)]
         assert answers[0].rcode() == dns.rcode.NOERROR
         refused = answers[1:]
-        assert all(a.rcode() == dns.rcode.SERVFAIL for a in refused)
-        assert all(any(o.otype == dns.edns.OptionType.EDE for o in a.options) for a in refused)
+        assert all(answer.rcode() == dns.rcode.SERVFAIL for answer in refused)
+        assert all(
+            any(option.otype == dns.edns.OptionType.EDE for option in answer.options) for answer in refused
+        )
         assert client.ask(f"5.{NUMBER}").rcode() == dns.rcode.NOERROR  # another number, longer
-        assert len(upstream.came()) == 2, "refused look-ups cost the upstream nothing"
-        front.path.write_text(plain)
+        assert len(upstream.came()) == 2, "refused look-ups must not reach the upstream"
+        front.path.write_text(text_without_gap)
         running.process.send_signal(signal.SIGHUP)
         peers.until(lambda: running.events("gaps")[1:], why="the lift")
         assert [client.ask().rcode() for _ in range(3)] == [dns.rcode.NOERROR] * 3
