--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures holds to its form, and lets nothing else pass."""
+"""KNOWN-RED.txt: its form is enforced, and only the listed tests may fail."""
 
 from __future__ import annotations
 
@@ -10,47 +10,50 @@
 
 from tests.conftest import ROOT, read_known_red
 
-TESTS = """
+TEST_SOURCE = """
 def test_red():
     assert False
 
 def test_green():
     assert True
 """
-GOOD = "tests/test_some.py::test_red | the wall is wet | issue 24"
+VALID_LINE = "tests/test_some.py::test_red | a reply is lost | issue 24"
 
 
-def tree(folder: Path, known: str) -> Path:
+def write_project(folder: Path, known_red: str) -> Path:
+    """Writes a project with a failing and a passing test, this conftest.py and that list."""
     (folder / "tests").mkdir()
     (folder / "tests" / "__init__.py").touch()
-    (folder / "tests" / "test_some.py").write_text(TESTS)
+    (folder / "tests" / "test_some.py").write_text(TEST_SOURCE)
     (folder / "tests" / "conftest.py").write_text((ROOT / "tests" / "conftest.py").read_text())
-    (folder / "KNOWN-RED.txt").write_text(known)
+    (folder / "KNOWN-RED.txt").write_text(known_red)
     return folder
 
 
-def run(folder: Path) -> subprocess.CompletedProcess[str]:
-    words = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
-    return subprocess.run(words, cwd=folder, capture_output=True, text=True, timeout=60)
+def run_pytest(folder: Path) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "tests"]
+    return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60)
 
 
 @pytest.mark.parametrize(
-    ("known", "code", "said"),
+    ("known_red", "exit_code", "message"),
     [
-        (GOOD + "\n", 0, "KNOWN RED tests/test_some.py::test_red: the wall is wet (issue 24)"),
+        (VALID_LINE + "\n", 0, "KNOWN RED tests/test_some.py::test_red: a reply is lost (issue 24)"),
         ("", 1, "FAILED tests/test_some.py::test_red"),
-        (GOOD.replace("red", "green") + "\n", 1, "XPASS(strict)"),
-        (GOOD.replace("issue 24", "24") + "\n", 4, "not of the form"),
-        (GOOD.replace("test_red", "test_gone") + "\n", 4, "no such test"),
-        ("\n".join([GOOD] * 4), 4, "3 at most"),
-        (GOOD + "\n\n", 4, "not of the form"),
+        (VALID_LINE.replace("red", "green") + "\n", 1, "XPASS(strict)"),
+        (VALID_LINE.replace("issue 24", "24") + "\n", 4, "not of the form"),
+        (VALID_LINE.replace("test_red", "test_gone") + "\n", 4, "no such test"),
+        ("\n".join([VALID_LINE] * 4), 4, "3 at most"),
+        (VALID_LINE + "\n\n", 4, "not of the form"),
     ],
 )
-def test_only_what_is_listed_in_its_form_may_fail(known: str, code: int, said: str, tmp_path: Path) -> None:
-    done = run(tree(tmp_path, known))
-    assert done.returncode == code, done.stdout + done.stderr
-    assert said in done.stdout + done.stderr
+def test_only_listed_tests_may_fail_and_the_form_is_enforced(
+    known_red: str, exit_code: int, message: str, tmp_path: Path
+) -> None:
+    result = run_pytest(write_project(tmp_path, known_red))
+    assert result.returncode == exit_code, result.stdout + result.stderr
+    assert message in result.stdout + result.stderr
 
 
-def test_the_list_of_this_checkout_is_of_the_form() -> None:
+def test_the_list_of_this_checkout_is_valid() -> None:
     assert len(read_known_red(ROOT)) <= 3
