--- a/harepick/gapping/config.py
+++ b/harepick/gapping/config.py
@@ -145,7 +145,7 @@
     texts = {key: row.get(key, "") for key in ("id", "number", "prefix", "class", "zone", "reason", "owner")}
     for key, value in texts.items():
         if not isinstance(value, str):
-            raise GapError(f"{key} is not a text: {value!r}")
+            raise GapError(f"{key} is not a string: {value!r}")
     row_plan = row.get("plan", plan)
     if row_plan not in NUMBERING_PLANS:
         raise GapError(f"plan is none of {sorted(NUMBERING_PLANS)}: {row_plan!r}")
