--- a/harepick/enumdns/__init__.py
+++ b/harepick/enumdns/__init__.py
@@ -1,1 +1,1 @@
-"""The second front: ENUM look-ups over DNS, as server to clients and as client to upstream DNS servers."""
+"""ENUM look-ups over DNS: a server for DNS clients, and a client of upstream DNS servers."""
--- a/harepick/enumdns/codec.py
+++ b/harepick/enumdns/codec.py
@@ -1,7 +1,7 @@
-"""DNS messages of the ENUM front: a codec without sockets, on dnspython.
+"""Reads and writes the DNS messages of the ENUM front, on dnspython; opens no sockets.
 
-Of a query it takes the question, of a reply what matches it to a query. The records of a served answer go on
-as the upstream gave them; only id, flags and EDNS are the client's own.
+The records of an upstream's reply are passed on unchanged. The id, the flags and the EDNS record are set for
+the client.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 import dns.opcode
 import dns.rcode
 import dns.rdatatype
-import dns.rdtypes.ANY.SOA  # dnspython loads a type when it first meets it: not under load
+import dns.rdtypes.ANY.SOA  # dnspython loads a record type at its first use: not while serving
 import dns.rdtypes.IN.NAPTR
 
 HEADER = struct.Struct(">HHHHHH")
-OPT = struct.Struct(">BHHIH")  # an EDNS record without options
-OWN_PAYLOAD = 1024  # bytes that the front takes over UDP
-CLASSIC = 512  # bytes a client without EDNS takes over UDP
+OPT_RECORD = struct.Struct(">BHHIH")  # an EDNS record without options
+LISTENER_PAYLOAD_BYTES = 1024  # largest UDP message that the listener announces to its clients
+DEFAULT_PAYLOAD_BYTES = 512  # largest UDP answer to a client without EDNS (RFC 1035)
 NOT_READY, NETWORK_ERROR = dns.edns.EDECode.NOT_READY, dns.edns.EDECode.NETWORK_ERROR  # RFC 8914
 PROHIBITED = dns.edns.EDECode.PROHIBITED
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Query:
-    """A client's query, as far as the front needs it."""
+    """A client's query with its only question."""
 
     message: dns.message.Message
     question: Question
@@ -42,13 +42,17 @@
         return self.message.id
 
     @property
-    def room(self) -> int:
-        """Bytes that the client takes over UDP."""
-        return max(CLASSIC, self.message.payload) if self.message.edns >= 0 else CLASSIC
+    def max_udp_size(self) -> int:
+        """Bytes of the largest answer that the client accepts over UDP."""
+        return (
+            max(DEFAULT_PAYLOAD_BYTES, self.message.payload)
+            if self.message.edns >= 0
+            else DEFAULT_PAYLOAD_BYTES
+        )
 
 
 class MalformedError(Exception):
-    """Bytes that are no query; `answer` is what the client is told, None if nothing can be."""
+    """The bytes are not a valid query; `answer` is the reply for the client, None if it gets none."""
 
     def __init__(self, text: str, answer: bytes | None) -> None:
         super().__init__(text)
@@ -56,33 +60,39 @@
 
 
 def read_query(data: bytes) -> Query:
+    """Parses a client's message; raises `MalformedError`."""
     if len(data) < HEADER.size:
-        raise MalformedError("shorter than a header", None)
+        raise MalformedError("message is shorter than a DNS header", None)
     ident, flags, *_ = HEADER.unpack_from(data)
     if flags & dns.flags.QR:
-        raise MalformedError("a reply, not a query", None)  # never answered: two servers would go on for ever
+        # Never answered: two servers would answer each other's replies without end.
+        raise MalformedError("message is a reply, not a query", None)
     opcode = (flags >> 11) & 15
     if opcode != dns.opcode.QUERY:
-        raise MalformedError(f"opcode {opcode}", _bare(ident, flags, dns.rcode.NOTIMP))
+        raise MalformedError(
+            f"opcode {opcode} is not supported", _header_only(ident, flags, dns.rcode.NOTIMP)
+        )
     try:
         message = dns.message.from_wire(data)
         question = message.question[0]
     except (dns.exception.DNSException, ValueError, IndexError) as error:
         text = f"{type(error).__name__}: {error}"
-        raise MalformedError(text, _bare(ident, flags, dns.rcode.FORMERR)) from None
+        raise MalformedError(text, _header_only(ident, flags, dns.rcode.FORMERR)) from None
     if len(message.question) != 1:
-        raise MalformedError("more than one question", _bare(ident, flags, dns.rcode.FORMERR))
+        raise MalformedError(
+            "query has more than one question", _header_only(ident, flags, dns.rcode.FORMERR)
+        )
     return Query(message, (question.name, question.rdtype, question.rdclass))
 
 
-def _bare(ident: int, flags: int, rcode: int) -> bytes:
-    """A header alone, for what holds no question that could be repeated."""
+def _header_only(ident: int, flags: int, rcode: int) -> bytes:
+    """A reply without a question section, for a query whose question cannot be repeated."""
     kept = flags & (dns.flags.RD | 0x7800)
     return HEADER.pack(ident, dns.flags.QR | kept | rcode, 0, 0, 0, 0)
 
 
-def number(question: Question, suffix: dns.name.Name) -> str | None:
-    """The E.164 number that a name under the suffix asks for, `+` and digits; None if it asks for none."""
+def e164_number(question: Question, suffix: dns.name.Name) -> str | None:
+    """The E.164 number (`+` and digits) of a name under the suffix (RFC 6116); None if it is not a number."""
     name = question[0]
     if not name.is_subdomain(suffix) or name == suffix:
         return None
@@ -93,79 +103,90 @@
     return "+" + digits.decode()
 
 
-def refusal(
+def make_response(
     query: Query, rcode: int, code: dns.edns.EDECode | None = None, text: str = ""
 ) -> dns.message.Message:
-    """An answer of the front's own; the extended error tells why, to clients that speak EDNS."""
+    """A response without records; clients with EDNS get the extended error `code` and `text` (RFC 8914)."""
     message = dns.message.make_response(query.message, recursion_available=True)
     message.set_rcode(dns.rcode.Rcode(rcode))
     if query.message.edns >= 0:
         options: list[dns.edns.Option] = [] if code is None else [dns.edns.EDEOption(code, text or None)]
-        message.use_edns(0, 0, OWN_PAYLOAD, options=options)
+        message.use_edns(0, 0, LISTENER_PAYLOAD_BYTES, options=options)
     return message
 
 
-def passed_on(query: Query, upstream: bytes, room: int) -> bytes | None:
-    """The upstream's records as the bytes that came, under the client's own header and question.
+def relay_response(query: Query, upstream: bytes, size_limit: int) -> bytes | None:
+    """The bytes of the upstream's records, behind the client's own header and question.
 
-    None if that can't be: the reply is too large for the client, or its additional section holds more than
-    a plain EDNS record. `served` takes such a reply apart. Offsets stay, so compressed names stay good.
+    None if the reply is larger than `size_limit` bytes, or if its additional section holds more than an EDNS
+    record without options: `rebuild_response` handles these. The records keep their offsets, so compressed
+    names stay valid.
     """
     _, flags, questions, answers, authorities, additional = HEADER.unpack_from(upstream)
     name, rdtype, rdclass = query.question
     question = (name.to_wire() or b"") + struct.pack(">HH", rdtype, rdclass)
     end = len(upstream)
-    if additional == 1 and upstream[-OPT.size :].startswith(b"\0\0\x29") and upstream.endswith(b"\0\0"):
-        end -= OPT.size
+    if (
+        additional == 1
+        and upstream[-OPT_RECORD.size :].startswith(b"\0\0\x29")
+        and upstream.endswith(b"\0\0")
+    ):
+        end -= OPT_RECORD.size
     elif additional:
         return None
     edns = query.message.edns >= 0
     start = HEADER.size + len(question)
-    if questions != 1 or flags & dns.flags.TC or end < start or end + edns * OPT.size > room:
+    if questions != 1 or flags & dns.flags.TC or end < start or end + edns * OPT_RECORD.size > size_limit:
         return None
     flags = flags & (dns.flags.QR | dns.flags.AA | 15) | dns.flags.RA | query.message.flags & dns.flags.RD
-    head = HEADER.pack(query.id, flags, 1, answers, authorities, int(edns))
-    return head + question + upstream[start:end] + (_opt(OWN_PAYLOAD) if edns else b"")
+    header = HEADER.pack(query.id, flags, 1, answers, authorities, int(edns))
+    return header + question + upstream[start:end] + (_opt_record(LISTENER_PAYLOAD_BYTES) if edns else b"")
 
 
-def served(query: Query, upstream: bytes) -> dns.message.Message:
-    """The upstream's reply for this client: its records and code, the client's own id, case and EDNS."""
+def rebuild_response(query: Query, upstream: bytes) -> dns.message.Message:
+    """The upstream's records and response code, with the client's own id, question and EDNS.
+
+    Raises dnspython's errors if the reply cannot be parsed.
+    """
     reply = dns.message.from_wire(upstream)
-    message = refusal(query, reply.rcode())
+    message = make_response(query, reply.rcode())
     message.flags |= reply.flags & dns.flags.AA
     message.answer, message.authority = reply.answer, reply.authority
     message.additional = reply.additional
     return message
 
 
-def encode(message: dns.message.Message, room: int) -> bytes:
-    """The bytes, truncated to what the client takes, with TC set if anything is left out."""
+def encode(message: dns.message.Message, size_limit: int) -> bytes:
+    """The message in at most `size_limit` bytes; without its records and with TC set if it is larger."""
     try:
-        return message.to_wire(max_size=room)
+        return message.to_wire(max_size=size_limit)
     except dns.exception.TooBig:
-        cut = dns.message.Message(id=message.id)
-        cut.flags = dns.flags.Flag(message.flags | dns.flags.TC)
-        cut.question = message.question
-        cut.set_rcode(message.rcode())
+        truncated = dns.message.Message(id=message.id)
+        truncated.flags = dns.flags.Flag(message.flags | dns.flags.TC)
+        truncated.question = message.question
+        truncated.set_rcode(message.rcode())
         if message.edns >= 0:
-            cut.use_edns(0, 0, message.payload)
-        return cut.to_wire(max_size=room)
+            truncated.use_edns(0, 0, message.payload)
+        return truncated.to_wire(max_size=size_limit)
+
 
+def encode_query(question: Question, ident: int, payload: int) -> bytes:
+    """A query to an upstream, with RD and an EDNS record that announces `payload` bytes.
 
-def ask(question: Question, ident: int, payload: int) -> bytes:
-    """The query to an upstream: recursion desired, with EDNS. By hand: it is made for every attempt."""
+    Packed directly, without a dnspython message: this runs once for every attempt.
+    """
     name, rdtype, rdclass = question
-    head = HEADER.pack(ident, dns.flags.RD, 1, 0, 0, 1)
-    return head + (name.to_wire() or b"") + struct.pack(">HH", rdtype, rdclass) + _opt(payload)
+    header = HEADER.pack(ident, dns.flags.RD, 1, 0, 0, 1)
+    return header + (name.to_wire() or b"") + struct.pack(">HH", rdtype, rdclass) + _opt_record(payload)
 
 
-def _opt(payload: int) -> bytes:
-    return OPT.pack(0, dns.rdatatype.OPT, payload, 0, 0)
+def _opt_record(payload: int) -> bytes:
+    return OPT_RECORD.pack(0, dns.rdatatype.OPT, payload, 0, 0)
 
 
 @dataclass(slots=True)
 class Reply:
-    """An upstream's reply to a query."""
+    """An upstream's reply; its records are still unparsed in `data`."""
 
     data: bytes
     id: int
@@ -175,7 +196,10 @@
 
 
 def read_reply(data: bytes) -> Reply | None:
-    """None for what is no reply. Its records are read once it is known to be the one waited for."""
+    """Parses the header and the question of a reply; None if the bytes are not a reply.
+
+    The records are parsed only after the reply has been matched to a query.
+    """
     if len(data) < HEADER.size:
         return None
     ident, flags, *_ = HEADER.unpack_from(data)
@@ -186,6 +210,6 @@
         message = dns.message.from_wire(data, question_only=True, ignore_trailing=True)
     except (dns.exception.DNSException, ValueError):
         return None
-    question = message.question[0] if message.question else None
-    asked = (question.name, int(question.rdtype), int(question.rdclass)) if question is not None else None
-    return Reply(data, ident, asked, flags & 15, truncated)
+    first = message.question[0] if message.question else None
+    question = (first.name, int(first.rdtype), int(first.rdclass)) if first is not None else None
+    return Reply(data, ident, question, flags & 15, truncated)
--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -1,6 +1,7 @@
-"""The DNS server of the ENUM front: clients over UDP and TCP, on the core's ledger and rules.
+"""The DNS server of the ENUM front: accepts look-ups over UDP and TCP and passes them to the core.
 
-Owns the look-ups under way. A client's retransmission joins the one under way; each look-up gets one answer.
+Keeps the look-ups in progress. A client's retransmission joins the one in progress, and each look-up gets one
+answer.
 """
 
 from __future__ import annotations
@@ -27,36 +28,37 @@
 from harepick.net.outbox import Outbox
 from harepick.settings import EnumSettings
 
-LENGTH = struct.Struct(">H")
-SEND_TIMEOUT = 2.0
-BURST = 1 << 20  # bytes that may wait in the UDP socket while the core is busy
-RESULT = {"served": "completed", "refused": "rejected", "failed": "failed"}  # as the figures name them
-MARGIN = 0.2  # an answer is on its way so long before the look-up's deadline
+LENGTH_PREFIX = struct.Struct(">H")  # before each message over TCP (RFC 1035)
+SEND_TIMEOUT_S = 2.0
+UDP_RECEIVE_BUFFER_BYTES = 1 << 20  # holds the queries that arrive while the core is busy
+OUTCOME_NAMES = {"served": "completed", "refused": "rejected", "failed": "failed"}  # in the counters by lane
+ANSWER_MARGIN_S = 0.2  # the core's deadline is this long before the client's, so that the answer is in time
 Key = tuple[object, int, codec.Question]
 Write = Callable[[bytes], None]
 
 
 @dataclass(slots=True)
 class Client:
-    """Where an answer goes."""
+    """The destination of an answer."""
 
-    name: object  # peer address, or the TCP connection
+    name: object  # peer address, or the outbox of a TCP connection
     host: str
     write: Write
     over_udp: bool = True
 
-    def room(self, query: codec.Query) -> int:
-        return query.room if self.over_udp else 0xFFFF
+    def max_answer_size(self, query: codec.Query) -> int:
+        """Bytes of the largest answer that the client accepts."""
+        return query.max_udp_size if self.over_udp else 0xFFFF
 
 
 class Lookup:
-    """One look-up under way: the caller of a call, to the core."""
+    """One look-up in progress; the core's `Caller`."""
 
-    __slots__ = ("_client", "_front", "_key", "call", "gone", "inbox", "lane", "query")
+    __slots__ = ("_client", "_key", "_listener", "call", "gone", "inbox", "lane", "query")
 
     def __init__(
         self,
-        front: DnsListener,
+        listener: DnsListener,
         inbox: Inbox,
         call: str,
         key: Key,
@@ -64,47 +66,52 @@
         client: Client,
         lane: str,
     ) -> None:
-        self._front, self.inbox, self.call, self._key = front, inbox, call, key
+        self._listener, self.inbox, self.call, self._key = listener, inbox, call, key
         self.query, self._client, self.lane = query, client, lane
         self.gone = False
 
     def stands(self, description: bytes) -> None:
-        room = self._client.room(self.query)
+        """Answers with the records of the upstream's reply."""
+        size_limit = self._client.max_answer_size(self.query)
         try:
-            data = codec.passed_on(self.query, description, room)
+            data = codec.relay_response(self.query, description, size_limit)
             if data is None:
-                data = codec.encode(codec.served(self.query, description), room)
+                data = codec.encode(codec.rebuild_response(self.query, description), size_limit)
         except (dns.exception.DNSException, ValueError):
             self.failed()
         else:
-            self._done(data, "served")
+            self._finish(data, "served")
 
     def refused(self, stay_away: float) -> None:
+        """Answers SERVFAIL; the extended error says how many seconds to stay away, if any."""
         text = f"overloaded, stay away for {round(stay_away * 1000)} ms" if stay_away > 0 else "overloaded"
-        self._own(codec.refusal(self.query, dns.rcode.SERVFAIL, codec.NOT_READY, text), "refused")
+        self._finish_with(
+            codec.make_response(self.query, dns.rcode.SERVFAIL, codec.NOT_READY, text), "refused"
+        )
 
     def failed(self) -> None:
-        self._own(codec.refusal(self.query, dns.rcode.SERVFAIL, codec.NETWORK_ERROR), "failed")
+        """Answers SERVFAIL: no upstream answered."""
+        self._finish_with(codec.make_response(self.query, dns.rcode.SERVFAIL, codec.NETWORK_ERROR), "failed")
 
     def over(self, *, cut: bool) -> None:
-        """A look-up is over as soon as it is answered."""
+        """Does nothing: a look-up ends with its answer."""
 
     def duplicate_id(self) -> None:
-        """Ids are this front's own and never used twice."""
+        """Does not happen: the listener gives each look-up a new call id."""
         self.failed()
 
-    def _own(self, message: dns.message.Message, kind: str) -> None:
-        self._done(codec.encode(message, self._client.room(self.query)), kind)
+    def _finish_with(self, message: dns.message.Message, outcome: str) -> None:
+        self._finish(codec.encode(message, self._client.max_answer_size(self.query)), outcome)
 
-    def _done(self, data: bytes, kind: str) -> None:
-        if self._front.finished(self._key):
-            self._front.counters.add(f"enum.{kind}")
-            self._front.counters.answered(self.lane, RESULT[kind])
+    def _finish(self, data: bytes, outcome: str) -> None:
+        if self._listener.close_lookup(self._key):
+            self._listener.counters.add(f"enum.{outcome}")
+            self._listener.counters.answered(self.lane, OUTCOME_NAMES[outcome])
             self._client.write(data)
 
 
-class Serving:
-    """What look-ups are taken under: a configuration, the routes in it, and the core that gets them."""
+class ActiveConfig:
+    """What new look-ups are accepted under: a configuration, its routes, and the inbox of the core in use."""
 
     def __init__(self, config: EnumSettings, first_choice: Callable[[str], int], inbox: Inbox) -> None:
         self.config, self.first_choice, self.inbox = config, first_choice, inbox
@@ -112,33 +119,38 @@
 
 
 class DnsListener:
-    def __init__(self, serving: Serving, counters: Counters, log: Log) -> None:
+    """Reads queries from UDP and TCP clients and writes the answers."""
+
+    def __init__(self, active: ActiveConfig, counters: Counters, log: Log) -> None:
         self.counters = counters
-        self._serving = serving
+        self._active = active
         self._log = log
-        self._open: dict[Key, Lookup] = {}
-        self._count = 0
+        self._lookups: dict[Key, Lookup] = {}
+        self._lookup_count = 0
         self._connections = 0
         self._udp: Outbox[tuple[bytes, tuple[str, int]]] = Outbox()
 
     @property
     def unwritten(self) -> int:
+        """Answers over UDP that are not written yet."""
         return len(self._udp)
 
-    def follow(self, serving: Serving) -> None:
-        """Look-ups that come from now on are taken under this; those under way stay where they are."""
-        self._serving = serving
+    def use_config(self, active: ActiveConfig) -> None:
+        """Accepts new look-ups under `active`; those in progress stay with their core."""
+        self._active = active
 
-    def finished(self, key: Key) -> bool:
-        return self._open.pop(key, None) is not None
+    def close_lookup(self, key: Key) -> bool:
+        """Removes a look-up; False if it was removed before."""
+        return self._lookups.pop(key, None) is not None
 
     async def serve_udp(self, sock: UDPSocket) -> None:
+        """Serves UDP clients until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._write_udp, sock)
             raw = sock.extra(SocketAttribute.raw_socket)
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BURST)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, UDP_RECEIVE_BUFFER_BYTES)
             async for data, peer in sock:
-                await self._take(data, Client(peer, peer[0], partial(self._put_udp, peer)))
+                await self._handle_query(data, Client(peer, peer[0], partial(self._put_udp, peer)))
 
     def _put_udp(self, peer: tuple[str, int], answer: bytes) -> None:
         if not self._udp.put((answer, peer)):
@@ -154,9 +166,9 @@
                     self.counters.add("enum.unwritten")
 
     async def serve_tcp(self, stream: SocketStream) -> None:
-        """One TCP client; many queries may be under way on its connection."""
+        """Serves one TCP client, which may have many queries in progress on its connection."""
         async with stream:
-            if self._connections >= self._serving.config.tcp_clients:
+            if self._connections >= self._active.config.tcp_clients:
                 self.counters.add("enum.turned_away")
                 return
             self._connections += 1
@@ -169,8 +181,8 @@
             finally:
                 self._connections -= 1
                 with anyio.CancelScope(shield=True):
-                    for key, lookup in [(k, c) for k, c in self._open.items() if k[0] is outbox]:
-                        self._open.pop(key, None)
+                    for key, lookup in [(k, c) for k, c in self._lookups.items() if k[0] is outbox]:
+                        self._lookups.pop(key, None)
                         lookup.gone = True
                         await lookup.inbox.put(CallerGone(lookup.call, lookup))
 
@@ -184,37 +196,37 @@
         buffer = bytearray()
         while True:
             try:
-                with anyio.move_on_after(self._serving.config.tcp_idle) as scope:
+                with anyio.move_on_after(self._active.config.tcp_idle) as scope:
                     buffer += await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
             if scope.cancelled_caught:
-                if any(key[0] is outbox for key in self._open):
+                if any(key[0] is outbox for key in self._lookups):
                     continue
                 return
-            while len(buffer) >= LENGTH.size:
-                (length,) = LENGTH.unpack_from(buffer)
-                if len(buffer) < LENGTH.size + length:
+            while len(buffer) >= LENGTH_PREFIX.size:
+                (length,) = LENGTH_PREFIX.unpack_from(buffer)
+                if len(buffer) < LENGTH_PREFIX.size + length:
                     break
-                data = bytes(buffer[LENGTH.size : LENGTH.size + length])
-                del buffer[: LENGTH.size + length]
-                await self._take(data, client)
+                data = bytes(buffer[LENGTH_PREFIX.size : LENGTH_PREFIX.size + length])
+                del buffer[: LENGTH_PREFIX.size + length]
+                await self._handle_query(data, client)
 
     async def _write_tcp(self, stream: SocketStream, outbox: Outbox[bytes], scope: anyio.CancelScope) -> None:
         while True:
             await outbox.wait()
-            data = b"".join(LENGTH.pack(len(answer)) + answer for answer in outbox.clear())
+            data = b"".join(LENGTH_PREFIX.pack(len(answer)) + answer for answer in outbox.clear())
             try:
-                with anyio.fail_after(SEND_TIMEOUT):
+                with anyio.fail_after(SEND_TIMEOUT_S):
                     await stream.send(data)
             except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 scope.cancel()
                 return
 
-    async def _take(self, data: bytes, client: Client) -> None:
+    async def _handle_query(self, data: bytes, client: Client) -> None:
         now = time.time()
-        serving = self._serving
-        config = serving.config
+        active = self._active
+        config = active.config
         self.counters.add("enum.queries")
         try:
             query = codec.read_query(data)
@@ -224,28 +236,29 @@
             if error.answer is not None:
                 client.write(error.answer)
             return
-        number = codec.number(query.question, serving.suffix)
+        number = codec.e164_number(query.question, active.suffix)
         if number is None:
             self.counters.add("enum.outside")
-            answer = codec.refusal(query, dns.rcode.REFUSED, codec.PROHIBITED, "no number under the suffix")
-            client.write(codec.encode(answer, client.room(query)))
+            answer = codec.make_response(
+                query, dns.rcode.REFUSED, codec.PROHIBITED, "no number under the suffix"
+            )
+            client.write(codec.encode(answer, client.max_answer_size(query)))
             return
         key: Key = (client.name, query.id, query.question)
-        if key in self._open:
-            self.counters.add("enum.joined")  # a retransmission: one answer is on its way
+        if key in self._lookups:
+            self.counters.add("enum.joined")  # a retransmission: its look-up will be answered once
             return
-        self._count += 1
-        call = f"enum-{self._count}"
-        lookup = self._open[key] = Lookup(self, serving.inbox, call, key, query, client, config.call_class)
-        await serving.inbox.put(
+        self._lookup_count += 1
+        call = f"enum-{self._lookup_count}"
+        lookup = self._lookups[key] = Lookup(self, active.inbox, call, key, query, client, config.call_class)
+        await active.inbox.put(
             Offer(
                 call=call,
                 class_name=config.call_class,
-                destination=serving.first_choice(number),
-                number=zlib.crc32(
-                    f"{client.host} {number}".encode()
-                ),  # a client that asks again is known by it
-                deadline=now + max(config.deadline - MARGIN, config.deadline / 2),
+                destination=active.first_choice(number),
+                # The same for every query of this client for this number, so that a redial is recognized.
+                number=zlib.crc32(f"{client.host} {number}".encode()),
+                deadline=now + max(config.deadline - ANSWER_MARGIN_S, config.deadline / 2),
                 caller=lookup,
                 request=query.question,
                 called=number,
--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -1,9 +1,9 @@
-"""The ENUM front: wires its parts up, follows its configuration, and sees a planned stop through.
+"""The ENUM front: connects its parts, applies configuration changes, and finishes look-ups before a stop.
 
 The configuration comes from the operator's file, or from the replicated store (`harepick/store/service.py`),
-which hands a new one to `apply`. A change of the upstreams or routes alone goes to the core that is there. A
-change of class, rules or limits begins a new generation: a core of its own that takes what comes from then
-on, while the one before finishes the look-ups that it has.
+which passes a new one to `apply`. A change of upstreams or routes alone is applied to the running core. A
+change of the class, rules or limits starts a new generation: a core that takes all new look-ups, while the
+previous core finishes those that it has.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 import anyio
 from anyio.abc import TaskGroup, TaskStatus
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
 from harepick.core.messages import ConcurrencyLimit, ControllerEvent, Gate, Screen
 from harepick.counters import Counters
 from harepick.directory import Directory, ServerRecord
-from harepick.enumdns.listener import DnsListener, Serving
+from harepick.enumdns.listener import ActiveConfig, DnsListener
 from harepick.enumdns.routes import Routes
 from harepick.enumdns.upstreams import Upstreams
 from harepick.lifecycle import wait_until
@@ -36,25 +36,25 @@
     from harepick.gapping.gaps import SlotOwnership
     from harepick.gapping.screen import GapScreen
 
-STILL_COMING = 0.2  # after a stop, queries on their way are still taken for so long
-FLUSH = 0.2
-LATE_WORDS = 0.5  # an old generation stays so much longer than its last look-up may take
+STOP_GRACE_S = 0.2  # after a stop, queries in flight to us are still accepted for this long
+FLUSH_TIMEOUT_S = 0.2
+RETIRE_MARGIN_S = 0.5  # an old generation stays this much longer than its last look-up may take
 MAX_NUMBERS = 1_024  # of servers, past and present
-MAX_GENERATIONS = 8  # a flood of changes waits: each generation has sockets of its own
+MAX_GENERATIONS = 8  # further changes wait: each generation has sockets of its own
 
 
 def server_name(name: str, address: Address) -> str:
-    """An upstream with a new address is another server to the module."""
+    """The controller's name of an upstream; with a new address it is another server."""
     return f"{name}@{address}"
 
 
 def ready_servers(config: EnumSettings) -> frozenset[str]:
-    """The servers of a configuration that may be sent something."""
+    """The servers of a configuration that may be sent look-ups: those that are not draining."""
     return frozenset(server_name(u.name, u.address) for u in config.upstreams if not u.draining)
 
 
 class Generation:
-    """One core with its port towards the upstreams, for one set of class, rules and limits."""
+    """A core and its port to the upstreams, for one set of class, rules and limits."""
 
     def __init__(
         self,
@@ -65,37 +65,51 @@
         gate: Gate | None,
         screen: Screen | None = None,
     ) -> None:
-        module = config.settings
+        settings = config.settings
         self.config = config
         self.inbox = Inbox()
-        self.port = Upstreams(directory, self.inbox, counters, log, module.connect_timeout, config.edns_size)
+        self.port = Upstreams(
+            directory, self.inbox, counters, log, settings.connect_timeout, config.edns_size
+        )
         seed = secrets.randbits(63) if config.seed is None else config.seed
         self.engine = Engine(
-            module, seed, self.port, self.inbox, counters, log, config.open_lookups, gate=gate, screen=screen
+            settings,
+            seed,
+            self.port,
+            self.inbox,
+            counters,
+            log,
+            config.open_lookups,
+            gate=gate,
+            screen=screen,
         )
         self.scope = anyio.CancelScope()
 
     async def run(
-        self, known: i.ServerList, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
+        self, known: interface.ServerList, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Runs the core and its port until retired; `known`: the servers to start with."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 await tasks.start(self.port.run)
                 tasks.start_soon(self.engine.run, known)
                 task_status.started()
 
-    def told(self, change: i.ServerList) -> None:
+    def update_servers(self, change: interface.ServerList) -> None:
+        """Passes a changed server list to the port and to the core."""
         self.port.listed(change)
         self.inbox.put_nowait(ControllerEvent(change))
 
     async def retire(self) -> None:
-        """Finishes what it has, and ends."""
-        await wait_until(lambda: self.engine.idle, self.config.deadline + LATE_WORDS, LATE_WORDS)
+        """Stops the core once its look-ups are finished, or their deadlines have passed."""
+        await wait_until(lambda: self.engine.idle, self.config.deadline + RETIRE_MARGIN_S, RETIRE_MARGIN_S)
         self.engine.fail_unanswered()
         self.scope.cancel()
 
 
 class EnumFront:
+    """The ENUM service: a DNS listener, the generations behind it, and the gaps."""
+
     def __init__(
         self,
         config: EnumSettings,
@@ -106,101 +120,112 @@
         gate: Gate | None = None,
         outer: FleetScreen | None = None,
     ) -> None:
-        """`path`: the operator's file, read again on `reload`; none: `apply` alone brings changes.
-        `outer`: limits and verdicts of the fleet, asked before the gaps."""
+        """`path`: the operator's file, read again by `reload`; without it, changes come only by `apply`.
+
+        `outer`: the fleet's limits and verdicts, checked before the gaps.
+        """
         self._path, self._counters, self._log, self._gate = path, counters, log, gate
         self._config = config
         self.directory = Directory()
-        self._numbers: dict[str, int] = {}  # server -> its number, the same for good
-        self._changed = anyio.Event()
-        self._wanted: EnumSettings | None = None
+        self._numbers: dict[str, int] = {}  # server -> its number, which never changes
+        self._config_changed = anyio.Event()
+        self._pending_config: EnumSettings | None = None
         self._generations: list[Generation] = []
-        self._front: DnsListener | None = None
-        self._screen: GapScreen | None = None  # number gapping, once gaps are configured
-        self._outer = outer
-        self._rooms: dict[str, float] = {}  # upstream's name -> look-ups that may be under way there
-        self.owns: SlotOwnership | None = None  # over a fleet: whose turn a gap's slot is
-
-    def _screen_gaps(self, config: EnumSettings) -> str | None:
-        """Sets, changes and lifts gaps as `config` says; if one makes no sense now, changes nothing and
-        says why, naming the gap and its key."""
+        self._listener: DnsListener | None = None
+        self._screen: GapScreen | None = None  # None until gaps are configured
+        self._fleet_screen = outer
+        # Upstream's name -> look-ups that may be in progress there.
+        self._concurrency_limits: dict[str, float] = {}
+        self.owns: SlotOwnership | None = None  # in a fleet: which instance owns a gap's slot
+
+    def _apply_gaps(self, config: EnumSettings) -> str | None:
+        """Sets, changes and lifts gaps as configured.
+
+        If a gap is invalid, changes nothing and returns an error text that names the gap and its key.
+        """
         if not config.gaps and self._screen is None:
             return None
         from harepick.gapping.gaps import GapError
         from harepick.gapping.screen import GapScreen
 
-        screen = self._screen  # one without gaps is as good as any: it is the one that the cores ask
+        screen = self._screen  # kept even without gaps: the cores hold a reference to it
         if screen is None:
             screen = GapScreen(config.settings.zone, config.seed or 0, self.owns)
         now, rows = time.time(), config.gaps
-        if self._path is None:  # the store's: what is over there holds up no later change, and no start
+        # In a configuration of the store, gaps that are over must not block a later change or a start.
+        if self._path is None:
             rows = tuple(row for row in rows if not row.over(now))
         try:
-            told = screen.apply(rows, now, [config.call_class])
+            changes = screen.apply(rows, now, [config.call_class])
         except GapError as error:
             return f"setting gap: {error}"
         if self._screen is None:
             self._screen = screen
-            if self._outer:
-                self._outer.gaps = screen
+            if self._fleet_screen:
+                self._fleet_screen.gaps = screen
             for generation in self._generations:
                 generation.engine.screen = self.screen
-        if any(told.values()):
-            self._log.event("gaps", **told, now=len(screen))
+        if any(changes.values()):
+            self._log.event("gaps", **changes, now=len(screen))
         return None
 
     @property
     def idle(self) -> bool:
-        """No look-up is under way."""
+        """Whether no look-up is in progress."""
         return all(generation.engine.idle for generation in self._generations)
 
-    def set_concurrency_limit(self, name: str, room: float) -> None:
-        """So many look-ups may be under way at the upstream of that name, at all addresses it has had and
-        in all generations; the newest generation gets what the others leave."""
-        self._rooms[name] = room
-        if room == inf:
-            del self._rooms[name]
+    def set_concurrency_limit(self, name: str, limit: float) -> None:
+        """Limits the look-ups in progress at the upstream of that name; infinity: no limit.
+
+        The limit covers all addresses that the upstream has had and all generations. The newest generation
+        gets what the others leave.
+        """
+        self._concurrency_limits[name] = limit
+        if limit == inf:
+            del self._concurrency_limits[name]
         if not self._generations:
             return
         servers = [server for server in self._numbers if server.partition("@")[0] == name]
-        now = [e.server for e in self.directory.entries() if e.server in servers and e.state != "gone"]
+        current = [e.server for e in self.directory.entries() if e.server in servers and e.state != "gone"]
         newest = self._generations[-1]
         elsewhere = 0
         for generation in self._generations[:-1]:
             for server in servers:
                 elsewhere += generation.engine.under_way(server)
-                generation.inbox.put_nowait(ConcurrencyLimit(server, 0.0 if room < inf else inf))
+                generation.inbox.put_nowait(ConcurrencyLimit(server, 0.0 if limit < inf else inf))
         for server in servers:
-            if server not in now:
+            if server not in current:
                 elsewhere += newest.engine.under_way(server)
-        for server in now:
-            newest.inbox.put_nowait(ConcurrencyLimit(server, max(0.0, room - elsewhere)))
+        for server in current:
+            newest.inbox.put_nowait(ConcurrencyLimit(server, max(0.0, limit - elsewhere)))
 
     @property
     def pending(self) -> int:
-        """Look-ups taken and not ended."""
+        """The number of look-ups accepted and not ended."""
         return sum(generation.engine.pending for generation in self._generations)
 
     @property
     def members(self) -> int:
+        """The number of servers that the latest core knows."""
         return self._generations[-1].engine.members if self._generations else 0
 
     @property
     def avoided(self) -> frozenset[str]:
-        """Servers that fresh look-ups avoid now, as the latest core sees them."""
+        """Servers that the latest core avoids for new look-ups."""
         return self._generations[-1].engine.avoided if self._generations else frozenset()
 
     @property
     def screen(self) -> Screen | None:
-        """What the core asks before it books a call."""
-        return self._outer or self._screen
+        """What a core checks before it accepts a call: the fleet's limits, or the gaps alone."""
+        return self._fleet_screen or self._screen
 
     @property
     def gaps(self) -> GapScreen | None:
+        """The configured gaps; None until there are any."""
         return self._screen
 
     def reload(self) -> None:
-        """Reads the file again; a faulty one changes nothing."""
+        """Reads the operator's file again; an invalid one changes nothing."""
         if self._path is None:
             return
         try:
@@ -212,98 +237,106 @@
         self.apply(config)
 
     def apply(self, config: EnumSettings) -> None:
-        """Takes a new configuration over. At once for upstreams and routes: on return the core has the word.
+        """Applies a new configuration; an invalid gap in it changes nothing.
 
-        What else has changed begins a new generation as soon as the loop comes round; `listen` stays."""
-        if error := self._screen_gaps(config):
+        Upstreams and routes change at once: the core's inbox has the change on return. Any other change
+        starts a new generation soon after. `listen` does not change.
+        """
+        if error := self._apply_gaps(config):
             self._counters.add("enum.bad_files")
             self._log.event("reload_failed", error=error)
             return
         old, self._config = self._config, config
-        if self._front is None:
-            return  # not up yet: it starts with this one
+        if self._listener is None:
+            return  # not started yet: `run` will use this configuration
         if config == old:
             return
         before = set(self.directory.entries())
-        change = self.directory.update(self._rows(config), whole=True)
-        news = tuple(entry for entry in change.entries if entry not in before)
-        if news:
+        change = self.directory.update(self._server_records(config), whole=True)
+        changed = tuple(entry for entry in change.entries if entry not in before)
+        if changed:
             for generation in self._generations:
-                generation.told(i.ServerList(i.ListKind.CHANGES, news))
-        if _core(config) != _core(old) or self._wanted:
-            self._wanted = config
-            self._changed.set()
+                generation.update_servers(interface.ServerList(interface.ListKind.CHANGES, changed))
+        if _core_settings(config) != _core_settings(old) or self._pending_config:
+            self._pending_config = config
+            self._config_changed.set()
         else:
-            self._front.follow(self._serving(config, self._generations[-1]))
+            self._listener.use_config(self._active_config(config, self._generations[-1]))
         self._log.event("reloaded", upstreams=[f"{e.server} {e.state}" for e in change.entries])
 
     def remember(self, rows: Sequence[ServerRecord]) -> None:
-        """The pool as it was known before a restart; `apply` follows with what holds now."""
+        """Restores the pool as it was known before a restart; the current one follows by `apply`."""
         self._numbers |= {row.entry.server: row.entry.number for row in rows}
         self.directory.update(list(rows), whole=False)
-        known = i.ServerList(i.ListKind.REMEMBERED, self.directory.entries())
+        known = interface.ServerList(interface.ListKind.REMEMBERED, self.directory.entries())
         for generation in self._generations:
-            generation.told(known)
+            generation.update_servers(known)
 
     async def run(
         self, stop: anyio.Event, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Serves clients until `stop` is set and the look-ups in progress are finished.
+
+        Raises `SettingsError` if a gap is invalid or the listening address cannot be opened.
+        """
         config, counters, log = self._config, self._counters, self._log
-        host, number = config.listen.host, config.listen.port
-        change = self.directory.update(self._rows(config), whole=True)
-        if faulty := self._screen_gaps(config):
-            raise SettingsError(faulty)
+        host, port = config.listen.host, config.listen.port
+        change = self.directory.update(self._server_records(config), whole=True)
+        if gap_error := self._apply_gaps(config):
+            raise SettingsError(gap_error)
         try:
-            listener = await anyio.create_tcp_listener(local_host=host, local_port=number)
-            sock = await anyio.create_udp_socket(local_host=host, local_port=number)
+            tcp_listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
+            sock = await anyio.create_udp_socket(local_host=host, local_port=port)
         except OSError as error:
             raise SettingsError(f"setting enum.listen: {config.listen}: {error.strerror}") from None
-        async with listener, sock, anyio.create_task_group() as tasks:
+        async with tcp_listener, sock, anyio.create_task_group() as tasks:
             first = Generation(config, self.directory, counters, log, self._gate, self.screen)
             self._generations.append(first)
             await tasks.start(first.run, change)
-            front = self._front = DnsListener(self._serving(config, first), counters, log)
-            if self._config is not config:  # the store's came while the sockets were opened
+            dns_listener = self._listener = DnsListener(self._active_config(config, first), counters, log)
+            if self._config is not config:  # one from the store arrived while the sockets were opened
                 latest, self._config = self._config, config
                 self.apply(latest)
-                # What was remembered meanwhile may have missed the core: it hears the whole list anew.
-                first.told(i.ServerList(i.ListKind.ALL, self.directory.entries()))
-            for name, room in list(self._rooms.items()):
-                self.set_concurrency_limit(name, room)
-            tasks.start_soon(self._follow, tasks)
-            tasks.start_soon(front.serve_udp, sock)
-            tasks.start_soon(listener.serve, front.serve_tcp)
+                # The core may have missed a pool restored in the meantime: pass it the whole list.
+                first.update_servers(interface.ServerList(interface.ListKind.ALL, self.directory.entries()))
+            for name, limit in list(self._concurrency_limits.items()):
+                self.set_concurrency_limit(name, limit)
+            tasks.start_soon(self._replace_generations, tasks)
+            tasks.start_soon(dns_listener.serve_udp, sock)
+            tasks.start_soon(tcp_listener.serve, dns_listener.serve_tcp)
             log.event("listening", front="enum", listen=str(config.listen), suffix=config.suffix)
             task_status.started()
             await stop.wait()
             await wait_until(
                 lambda: all(g.engine.idle for g in self._generations),
-                self._config.deadline + STILL_COMING,
-                STILL_COMING,
+                self._config.deadline + STOP_GRACE_S,
+                STOP_GRACE_S,
             )
             for generation in self._generations:
                 generation.engine.fail_unanswered()
-            await wait_until(lambda: not front.unwritten, FLUSH, 0.02)
+            await wait_until(lambda: not dns_listener.unwritten, FLUSH_TIMEOUT_S, 0.02)
             tasks.cancel_scope.cancel()
 
-    async def _follow(self, tasks: TaskGroup) -> None:
-        """Begins a new generation when class, rules or limits have changed."""
-        assert self._front
+    async def _replace_generations(self, tasks: TaskGroup) -> None:
+        """Starts a new generation whenever the class, rules or limits have changed."""
+        assert self._listener
         while True:
-            await self._changed.wait()
-            self._changed = anyio.Event()
+            await self._config_changed.wait()
+            self._config_changed = anyio.Event()
             while len(self._generations) >= MAX_GENERATIONS:
                 await anyio.sleep(0.05)
-            config, self._wanted = self._wanted or self._config, None
+            config, self._pending_config = self._pending_config or self._config, None
             generation = Generation(
                 config, self.directory, self._counters, self._log, self._gate, self.screen
             )
-            await tasks.start(generation.run, i.ServerList(i.ListKind.ALL, self.directory.entries()))
+            await tasks.start(
+                generation.run, interface.ServerList(interface.ListKind.ALL, self.directory.entries())
+            )
             old = self._generations[-1]
             self._generations.append(generation)
-            for name, room in list(self._rooms.items()):  # before its first look-up
-                self.set_concurrency_limit(name, room)
-            self._front.follow(self._serving(self._config, generation))
+            for name, limit in list(self._concurrency_limits.items()):  # before its first look-up
+                self.set_concurrency_limit(name, limit)
+            self._listener.use_config(self._active_config(self._config, generation))
             self._counters.add("enum.generations")
             self._log.event("new_generation", deadline=config.deadline, open_cap=config.open_lookups)
             tasks.start_soon(self._retire, old)
@@ -312,27 +345,30 @@
         await old.retire()
         self._generations.remove(old)
 
-    def _serving(self, config: EnumSettings, generation: Generation) -> Serving:
+    def _active_config(self, config: EnumSettings, generation: Generation) -> ActiveConfig:
         numbers = {u.name: self._numbers[server_name(u.name, u.address)] for u in config.upstreams}
         ready = [u.name for u in config.upstreams if not u.draining]
         routes = Routes(config.routes, numbers, ready)
-        return Serving(generation.config, routes.first_choice, generation.inbox)
+        return ActiveConfig(generation.config, routes.first_choice, generation.inbox)
 
-    def _rows(self, config: EnumSettings) -> list[ServerRecord]:
-        rows = []
+    def _server_records(self, config: EnumSettings) -> list[ServerRecord]:
+        records = []
         for upstream in config.upstreams:
             server = server_name(upstream.name, upstream.address)
             number = self._numbers.setdefault(server, max(self._numbers.values(), default=-1) + 1)
             state = "draining" if upstream.draining else "ready"
-            rows.append(ServerRecord(i.ServerEntry(server, number, state), upstream.address))
-        while len(self._numbers) > MAX_NUMBERS:  # configurations come and go for as long as we run
-            kept = {row.entry.server for row in rows}
+            records.append(ServerRecord(interface.ServerEntry(server, number, state), upstream.address))
+        while len(self._numbers) > MAX_NUMBERS:  # upstreams of earlier configurations
+            kept = {record.entry.server for record in records}
             del self._numbers[next(name for name in self._numbers if name not in kept)]
-        return rows
+        return records
+
 
+def _core_settings(config: EnumSettings) -> EnumSettings:
+    """The part of a configuration whose change starts a new generation.
 
-def _core(config: EnumSettings) -> EnumSettings:
-    """What a new generation is begun for: all but upstreams, routes, and what the fleet's parts read."""
+    Leaves out upstreams, routes, and what the fleet's parts read.
+    """
     return replace(
         config, upstreams=(), routes=(), gaps=(), maintenance=None, limits=(), verdicts=None, autogap=None
     )
--- a/harepick/fleet/child.py
+++ b/harepick/fleet/child.py
@@ -84,7 +84,7 @@
     from harepick.fleet.limits.limit_buckets import Bucket
     from harepick.gapping.slot_requests import SlotRequester
 
-    EnumFront.set_concurrency_limit = lambda self, name, room: None  # type: ignore[method-assign]
+    EnumFront.set_concurrency_limit = lambda self, name, limit: None  # type: ignore[method-assign]
     Bucket.has_token = lambda self, now: True  # type: ignore[method-assign]
     original = CallerBuckets.has_token
     CallerBuckets.has_token = lambda self, caller, now: original(self, caller, now) or True  # type: ignore[method-assign]
