--- a/harepick/cli/__init__.py
+++ b/harepick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin; each command loads what it needs when it runs."""
+"""The command-line program `harepick`; each command imports what it needs only when it runs."""
--- a/harepick/cli/common.py
+++ b/harepick/cli/common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands share: where the store is, how answers and errors are told, exit codes."""
+"""Shared by the sub-commands: access to the store, printing of results and errors, exit codes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 OK, REFUSED, USAGE, UNAVAILABLE, CONFLICT = 0, 1, 2, 3, 4
 EXIT_CODES = """
 \b
-Exit codes: 0 done; 1 refused (a faulty configuration, an unknown revision);
-2 faulty arguments or operator's file; 3 no answer in time, or no leader;
-4 another change came first.
+Exit codes: 0 done; 1 refused (an invalid configuration, an unknown revision);
+2 invalid arguments or operator's file; 3 no answer in time, or no leader;
+4 another change was made first.
 """
-CODES = {
+ERROR_EXIT_CODES = {
     "conflict": CONFLICT,
     "no_answer": UNAVAILABLE,
     "not_leader": UNAVAILABLE,
@@ -33,33 +33,33 @@
     "bad_request": USAGE,
     "turned_away": USAGE,
 }
-NEXT = {
-    "conflict": "look at the change with 'harepick config diff', and repeat yours on top of it",
-    "no_answer": "see whether a replica runs there, or name others with --at",
-    "not_leader": "no leader for now: 'harepick store status' tells who is up; a majority has to be",
-    "lost": "look with 'harepick config history' whether it took effect",
-    "unavailable": "'harepick store status' tells what is wrong",
-    "invalid": "nothing was changed; mend the key and check with 'harepick config check FILE'",
-    "no_revision": "'harepick config history' lists those that are kept",
-    "no_machine": "'harepick config get' has the servers, 'harepick store members' the controllers",
-    "refused": "nothing was changed; 'harepick maint list' or 'harepick config history' tell what stands",
-    "turned_away": "is store.cluster the same in your operator's file?",
+HINTS = {
+    "conflict": "see the other change with 'harepick config diff', then make yours again on top of it",
+    "no_answer": "check that a replica runs there, or name others with --at",
+    "not_leader": "no leader at present: a majority must be up; 'harepick store status' lists the replicas",
+    "lost": "check with 'harepick config history' whether the change took effect",
+    "unavailable": "'harepick store status' shows what is wrong",
+    "invalid": "nothing was changed; correct the key and check with 'harepick config check FILE'",
+    "no_revision": "'harepick config history' lists the revisions that are kept",
+    "no_machine": "'harepick config get' shows the servers, 'harepick store members' the controllers",
+    "refused": "nothing was changed; 'harepick maint list' or 'harepick config history' shows the state",
+    "turned_away": "check that store.cluster in your operator's file names this cluster",
 }
 
 
 @dataclass
-class Store:
-    """Where the command's store is, and how long and in what form to answer."""
+class StoreAccess:
+    """The store that a command works on, its time limit in seconds, and the form of its output."""
 
     operator: str | None
     at: tuple[str, ...]
     cluster: str | None
-    within: float
+    timeout_s: float
     as_json: bool
     members: dict[str, str] = field(default_factory=dict)
 
     def client(self) -> StoreClient:
-        """Raises `SettingsError`."""
+        """A client of the store's replicas; raises `SettingsError` if their addresses are not valid."""
         from harepick.settings import parse_address, read_toml
         from harepick.store.client import StoreClient
         from harepick.store.settings import read_store
@@ -77,8 +77,8 @@
             addresses = [parse_address("127.0.0.1:7353", "--at")]
         return StoreClient(cluster, list(dict.fromkeys(addresses)))
 
-    def ask(self, work: Callable[[StoreClient], Awaitable[Any]]) -> Any:
-        """Runs that with a client; ends the program with a message and a code if it fails."""
+    def request(self, work: Callable[[StoreClient], Awaitable[Any]]) -> Any:
+        """Runs `work` with a client; if it fails, prints the error and ends the program."""
         import anyio
 
         from harepick.store.client import StoreError
@@ -97,14 +97,21 @@
             sys.exit(130)
 
     def fail(self, text: str, code: str) -> NoReturn:
+        """Prints an error with a hint, and as JSON if asked for; ends the program.
+
+        `code`: an error code of the store, from which the exit code follows.
+        """
         if self.as_json:
             import orjson
 
             click.echo(orjson.dumps({"error": code, "text": text}).decode())
-        fail(f"{text}\n  {NEXT[code]}" if code in NEXT else text, CODES.get(code, REFUSED))
+        fail(
+            f"{text}\n  {HINTS[code]}" if code in HINTS else text,
+            ERROR_EXIT_CODES.get(code, REFUSED),
+        )
 
-    def tell(self, value: Any, text: str | None = None) -> None:
-        """As JSON if asked for, else the text."""
+    def print_result(self, value: Any, text: str | None = None) -> None:
+        """Prints `value` as JSON if asked for or if there is no text, else the text."""
         if self.as_json or text is None:
             import orjson
 
@@ -114,11 +121,13 @@
 
 
 def fail(text: str, code: int) -> NoReturn:
+    """Prints an error and ends the program with the exit code."""
     click.echo(f"harepick: {text}", err=True)
     sys.exit(code)
 
 
 def author() -> str:
+    """`user@host` of whoever runs the command; empty if unknown."""
     try:
         return f"{getpass.getuser()}@{socket.gethostname()}"
     except (KeyError, OSError):
@@ -126,13 +135,13 @@
 
 
 def store_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Gives a command its `store` argument."""
+    """Decorator: adds the options that select the store, and passes them as the `store` argument."""
     import functools
 
     @click.option(
         "--operator", envvar="HAREPICK_OPERATOR", metavar="FILE", help="Operator's file with [store]."
     )
-    @click.option("--at", multiple=True, metavar="HOST:PORT", help="Replica to ask; may be given again.")
+    @click.option("--at", multiple=True, metavar="HOST:PORT", help="Replica to connect to; may be repeated.")
     @click.option("--cluster", metavar="NAME", help="Name of the cluster, if not in the operator's file.")
     @click.option("--timeout", default=10.0, show_default=True, help="Seconds until giving up.")
     @click.option("--json", "as_json", is_flag=True, help="Answer as JSON.")
@@ -144,10 +153,10 @@
         cluster: str | None,
         timeout: float,
         as_json: bool,
-        **words: Any,
+        **options: Any,
     ) -> Any:
         if not 0.05 <= timeout <= 60:
             fail("--timeout is not between 0.05 and 60 s", USAGE)
-        return command(*args, store=Store(operator, at, cluster, timeout, as_json), **words)
+        return command(*args, store=StoreAccess(operator, at, cluster, timeout, as_json), **options)
 
     return with_store
--- a/harepick/cli/main.py
+++ b/harepick/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `harepick`: its groups, loaded when they are named."""
+"""The command `harepick`: its command groups, each imported only when it is used."""
 
 from __future__ import annotations
 
@@ -9,20 +9,29 @@
 
 from harepick.cli.common import EXIT_CODES
 
+# Command -> module, attribute, help text.
 GROUPS = {
     "config": ("harepick.cli.config", "config", "Read and change the store's configuration."),
-    "fleet": ("harepick.cli.fleet", "fleet", "Play scenarios of faults on a fleet of instances."),
-    "gap": ("harepick.cli.gap", "gap", "Look at the gaps that a configuration file sets."),
-    "limit": ("harepick.cli.limit", "limit", "Limits that hold over all instances together."),
-    "maint": ("harepick.cli.maint", "maint", "Take machines out for work, and bring them back."),
+    "fleet": ("harepick.cli.fleet", "fleet", "Run fault scenarios on a fleet of instances."),
+    "gap": ("harepick.cli.gap", "gap", "Set, lift and show gaps."),
+    "limit": (
+        "harepick.cli.limit",
+        "limit",
+        "Set, lift and show limits over all instances together.",
+    ),
+    "maint": ("harepick.cli.maint", "maint", "Take machines out for maintenance, and bring them back."),
     "run": ("harepick.cli.run", "run", "Run one instance."),
-    "store": ("harepick.cli.store", "store", "Set up and look after the replicated store."),
-    "verdict": ("harepick.cli.limit", "verdict", "What one instance found out and all honour."),
+    "store": ("harepick.cli.store", "store", "Set up and maintain the replicated store."),
+    "verdict": (
+        "harepick.cli.limit",
+        "verdict",
+        "Judgements of servers and callers, shared by all instances.",
+    ),
 }
 
 
-class Lazy(click.Group):
-    """Names its commands without loading them."""
+class LazyGroup(click.Group):
+    """Lists its commands without importing their modules."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(GROUPS)
@@ -40,7 +49,7 @@
             formatter.write_dl([(name, GROUPS[name][2]) for name in sorted(GROUPS)])
 
 
-@click.group(cls=Lazy, epilog=EXIT_CODES, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, epilog=EXIT_CODES, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="harepick", message="%(prog)s %(version)s")
 def harepick() -> None:
     """A border controller: routes calls and ENUM look-ups, and keeps its servers out of overload."""
--- a/harepick/cli/run.py
+++ b/harepick/cli/run.py
@@ -12,8 +12,9 @@
 def run(operator: str | None) -> None:
     """Run one instance until SIGTERM.
 
-    With GW_CONFIG set the platform's front runs; an operator's file sets up the ENUM front, and with [store]
-    in it the replicated store as well. Exit code 2: a faulty setting, named in one line.
+    With GW_CONFIG set it serves the platform; with an operator's file it serves ENUM look-ups, and with
+    [store] in that file it runs a replica of the store as well. Exit code 2: an invalid setting, named in
+    one line.
     """
     from harepick.__main__ import main
 
--- a/harepick/cli/toml_rows.py
+++ b/harepick/cli/toml_rows.py
@@ -1,14 +1,17 @@
-"""Rows of the store's configuration that a command sets or takes out; the rest stays as it is written."""
+"""Sets and removes rows in the store's TOML configuration; the rest of the text stays as written."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from harepick.cli.common import Store, author
+from harepick.cli.common import StoreAccess, author
 
 
-def changed(text: str, table: str, wanted: dict[str, Any], drop: tuple[str, ...] = ()) -> str:
-    """The configuration with the row of that id in `[[table]]` set anew, or added; keys of `drop` go."""
+def with_row(text: str, table: str, wanted: dict[str, Any], drop: tuple[str, ...] = ()) -> str:
+    """The configuration with the keys of `wanted` set in the row of that id in `[[table]]`.
+
+    The row is added if it is missing; the keys in `drop` are removed from it.
+    """
     import tomlkit
 
     document = tomlkit.parse(text)
@@ -29,21 +32,24 @@
     return tomlkit.dumps(document)
 
 
-def without(text: str, table: str, name: str) -> str | None:
-    """The configuration without the row of that id; None if it has none."""
+def without_row(text: str, table: str, name: str) -> str | None:
+    """The configuration without the rows of that id in `[[table]]`; None if there are none."""
     import tomlkit
 
     document = tomlkit.parse(text)
     rows = document.get(table, [])
-    places = [n for n, row in enumerate(rows) if row.get("id") == name]
-    for place in reversed(places):
-        del rows[place]
-    if places and not rows:
+    positions = [n for n, row in enumerate(rows) if row.get("id") == name]
+    for position in reversed(positions):
+        del rows[position]
+    if positions and not rows:
         del document[table]
-    return tomlkit.dumps(document) if places else None
+    return tomlkit.dumps(document) if positions else None
+
 
+def commit_config(store: StoreAccess, text: str, expect: int, note: str) -> int:
+    """Makes `text` the configuration, if `expect` is still the latest revision.
 
-def put(store: Store, text: str, expect: int, note: str) -> int:
-    """The new revision's number, once no instance acts on an older one."""
+    Returns the number of the new revision, once no instance uses an older one.
+    """
     arguments = {"text": text, "expect": expect, "author": author(), "note": note}
-    return int(store.ask(lambda client: client.call("set", arguments, store.within))["revision"])
+    return int(store.request(lambda client: client.call("set", arguments, store.timeout_s))["revision"])
--- a/tests/test_gap_daemons.py
+++ b/tests/test_gap_daemons.py
@@ -103,24 +103,27 @@
 
 
 def test_an_end_set_by_command_replaces_a_duration_in_the_file() -> None:
-    from harepick.cli.toml_rows import changed
+    from harepick.cli.toml_rows import with_row
 
     text = '[[gap]]\nid = "a"\nprefix = "+1"\ninterval_s = 1\nfor_s = 60\n'
-    assert changed(text, "gap", {"id": "a", "until": 5.0}, ("for_s",)).count("for_s") == 0
-    assert "for_s = 60" in changed(text, "gap", {"id": "a", "interval_s": 2})
+    assert with_row(text, "gap", {"id": "a", "until": 5.0}, ("for_s",)).count("for_s") == 0
+    assert "for_s = 60" in with_row(text, "gap", {"id": "a", "interval_s": 2})
 
 
 def test_gap_watch_compares_the_gaps_of_two_revisions() -> None:
-    from harepick.cli.gap import _news
+    from harepick.cli.gap import _gap_changes
 
     first, second, changed = (
         GapRow("a", 1.0, prefix="+1"),
         GapRow("b", 1.0, prefix="+2"),
         GapRow("a", 2.0, prefix="+1"),
     )
-    assert _news({}, {"a": first}) == [("set", first)]
-    assert _news({"a": first, "b": second}, {"a": changed}) == [("lifted", second), ("changed", changed)]
-    assert _news({"a": first}, {"a": first}) == []
+    assert _gap_changes({}, {"a": first}) == [("set", first)]
+    assert _gap_changes({"a": first, "b": second}, {"a": changed}) == [
+        ("lifted", second),
+        ("changed", changed),
+    ]
+    assert _gap_changes({"a": first}, {"a": first}) == []
 
 
 def test_an_invalid_gap_never_becomes_a_revision(
