--- a/tests/dnspeers.py
+++ b/tests/dnspeers.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the ENUM tests: upstream DNS servers that do what a test says, and a client."""
+"""Test doubles for the ENUM tests: fake upstream DNS servers, a DNS client, and the program under test."""
 
 from __future__ import annotations
 
@@ -22,46 +22,55 @@
 
 NUMBER = "4.3.2.1.1.1.4.9.e164.arpa."
 
-
+# Number of records -> that many NAPTR records.
 RECORDS = {
-    n: dns.rrset.from_text(
+    count: dns.rrset.from_text(
         ".",
         60,
         "IN",
         "NAPTR",
-        *(f'{k} 10 "u" "E2U+sip" "!^.*$!sip:desk{k}@lpo.example!" .' for k in range(n)),
+        *(f'{k} 10 "u" "E2U+sip" "!^.*$!sip:desk{k}@lpo.example!" .' for k in range(count)),
     )
-    for n in (1, 40)
+    for count in (1, 40)
 }
 
 
 def naptr(query: dns.message.Message, records: int = 1) -> dns.message.Message:
+    """A reply with 1 or 40 NAPTR records."""
     reply = dns.message.make_response(query)
-    rows = dns.rrset.RRset(query.question[0].name, RECORDS[records].rdclass, RECORDS[records].rdtype)
+    rrset = dns.rrset.RRset(query.question[0].name, RECORDS[records].rdclass, RECORDS[records].rdtype)
     for rdata in RECORDS[records]:
-        rows.add(rdata)
-    reply.answer.append(rows)
+        rrset.add(rdata)
+    reply.answer.append(rrset)
     return reply
 
 
 class Upstream:
-    """A DNS server on UDP and TCP; `mode` may change while it runs, `queries` tells what came."""
+    """A fake upstream DNS server on UDP and TCP.
+
+    `mode` sets how it answers, and may change while it runs: serve, silent, truncate, forge, or the name of
+    a response code. `queries` records what it received.
+    """
 
     def __init__(self, mode: str = "serve") -> None:
         self.mode, self.records = mode, 1
-        self.queries: list[tuple[float, str, dns.message.Message, int]] = []  # time, way, query, port
+        self.queries: list[
+            tuple[float, str, dns.message.Message, int]
+        ] = []  # time, transport, query, source port
         self._udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         self.port = free_port()
         self._tcp = socket.create_server(("127.0.0.1", self.port))
         self._udp.bind(("127.0.0.1", self.port))
-        for work in (self._serve_udp, self._serve_tcp):
-            threading.Thread(target=work, daemon=True).start()
+        for serve in (self._serve_udp, self._serve_tcp):
+            threading.Thread(target=serve, daemon=True).start()
 
-    def came(self, way: str = "udp") -> list[dns.message.Message]:
-        return [query for _, how, query, _ in self.queries if how == way]
+    def came(self, transport: str = "udp") -> list[dns.message.Message]:
+        """The queries received over that transport."""
+        return [query for _, used, query, _ in self.queries if used == transport]
 
     def close(self) -> None:
+        """Closes the ports; the threads end."""
         for sock in (self._udp, self._tcp):
             with suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -87,30 +96,30 @@
                 return []
             case "truncate":
                 reply.flags |= dns.flags.TC
-            case "forge":  # a wrong id and a wrong question come before the true reply
-                wrong = naptr(query)
-                wrong.id ^= 1
-                other = naptr(dns.message.make_query(dns.name.from_text("9." + NUMBER), "NAPTR"))
-                other.id = query.id
-                return [wrong.to_wire(), other.to_wire(), b"\0\1", naptr(query).to_wire()]
-            case name:
-                reply.set_rcode(dns.rcode.from_text(name))
+            case "forge":  # a wrong id, a wrong question and a short message before the true reply
+                wrong_id = naptr(query)
+                wrong_id.id ^= 1
+                wrong_question = naptr(dns.message.make_query(dns.name.from_text("9." + NUMBER), "NAPTR"))
+                wrong_question.id = query.id
+                return [wrong_id.to_wire(), wrong_question.to_wire(), b"\0\1", naptr(query).to_wire()]
+            case rcode_name:
+                reply.set_rcode(dns.rcode.from_text(rcode_name))
         return [reply.to_wire()]
 
     def _serve_tcp(self) -> None:
         with suppress(OSError):
             while True:
-                peer, where = self._tcp.accept()
+                peer, address = self._tcp.accept()
                 with peer, peer.makefile("rb") as stream:
                     data = stream.read(int.from_bytes(stream.read(2), "big"))
                     query = dns.message.from_wire(data)
-                    self.queries.append((time.time(), "tcp", query, where[1]))
+                    self.queries.append((time.time(), "tcp", query, address[1]))
                     answer = naptr(query, self.records).to_wire(max_size=65535)
                     peer.sendall(len(answer).to_bytes(2, "big") + answer)
 
 
 class Client:
-    """Asks over UDP from one socket."""
+    """A DNS client that queries over UDP from one socket."""
 
     def __init__(self, port: int) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -118,6 +127,7 @@
         self.sock.connect(("127.0.0.1", port))
 
     def query(self, name: str = NUMBER, payload: int = 1232, edns: int = 0) -> dns.message.Message:
+        """A NAPTR query; `payload`: bytes it accepts over UDP; `edns` -1: without EDNS."""
         return dns.message.make_query(
             dns.name.from_text(name), "NAPTR", use_edns=edns, payload=payload if edns >= 0 else None
         )
@@ -125,13 +135,15 @@
     def send(self, query: dns.message.Message) -> None:
         self.sock.send(query.to_wire())
 
-    def hear(self, within: float = 5.0) -> dns.message.Message | None:
-        self.sock.settimeout(within)
+    def hear(self, timeout: float = 5.0) -> dns.message.Message | None:
+        """The next answer; None if none arrives within `timeout` seconds."""
+        self.sock.settimeout(timeout)
         with suppress(TimeoutError):
             return dns.message.from_wire(self.sock.recv(65535))
         return None
 
     def ask(self, name: str = NUMBER, payload: int = 1232, edns: int = 0) -> dns.message.Message:
+        """Sends a query and returns its answer; fails without one."""
         query = self.query(name, payload, edns)
         self.send(query)
         answer = self.hear()
@@ -139,15 +151,15 @@
         assert answer.id == query.id and answer.question == query.question
         return answer
 
-    def warm_up(self, asked: int = 60) -> None:
-        """What a front in service knows of its upstreams: some look-ups over some intervals."""
-        for n in range(asked):
+    def warm_up(self, lookups: int = 60) -> None:
+        """Makes look-ups over some intervals, so that the program has statistics of its upstreams."""
+        for n in range(lookups):
             assert self.ask(f"{n % 10}.{NUMBER}").rcode() == dns.rcode.NOERROR
             time.sleep(0.02)
 
 
 class Front:
-    """The program with its ENUM front, in front of the given upstreams."""
+    """The program with an operator's file for the ENUM front and the given upstreams."""
 
     def __init__(self, *upstreams: Upstream, deadline_ms: int = 2000) -> None:
         self.port = free_port()
@@ -157,14 +169,16 @@
         self.write({f"u{n}": (u.port, False) for n, u in enumerate(upstreams)})
 
     def write(self, upstreams: dict[str, tuple[int, bool]]) -> None:
+        """Writes the operator's file; `upstreams`: name -> port, and whether it is draining."""
         head = f'[enum]\nlisten = "127.0.0.1:{self.port}"\ndeadline_ms = {self.deadline_ms}\nseed = 5\n'
         rows = [
-            f'[[upstream]]\nname = "{name}"\naddress = "127.0.0.1:{port}"\ndraining = {str(off).lower()}\n'
-            for name, (port, off) in upstreams.items()
+            f'[[upstream]]\nname = "{name}"\naddress = "127.0.0.1:{port}"\ndraining = {str(drains).lower()}\n'
+            for name, (port, drains) in upstreams.items()
         ]
         self.path.write_text(head + "".join(rows))
 
     @contextmanager
     def run(self) -> Iterator[peers.Program]:
+        """Runs the program until the block ends."""
         with self._folder, peers.program("--operator", str(self.path)) as running:
             yield running
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -1,4 +1,4 @@
-"""ENUM over DNS: the real program between DNS clients and upstreams on loopback."""
+"""Runs the program between DNS clients and fake upstream DNS servers on the loopback interface."""
 
 from __future__ import annotations
 
@@ -36,22 +36,24 @@
 
 @pytest.mark.parametrize("mode", ["SERVFAIL", "REFUSED", "silent", "unreachable"])
 def test_a_look_up_goes_on_to_the_other_upstream(mode: str) -> None:
-    sick, well = Upstream(), Upstream()
-    front = Front(sick, well)
+    """An error, a refusal, silence or a closed port at one upstream must not fail a look-up."""
+    failing, healthy = Upstream(), Upstream()
+    front = Front(failing, healthy)
     with front.run() as running:
         client = Client(front.port)
         client.warm_up()
-        before, sick.mode = len(well.came()), mode
+        before, failing.mode = len(healthy.came()), mode
         if mode == "unreachable":
-            sick.close()
+            failing.close()
         for n in range(8):
-            name = f"{n}.{n}.{NUMBER}"  # the number's last digit names the first choice
+            name = f"{n}.{n}.{NUMBER}"  # the last digit of the number selects the preferred upstream
             answer = client.ask(name)
             assert answer.rcode() == dns.rcode.NOERROR, (n, running.text())
-        assert len(well.came()) == before + 8
+        assert len(healthy.came()) == before + 8
 
 
 def test_a_look_up_that_nobody_serves_gets_servfail_in_time_with_the_reason() -> None:
+    """Guards against a client that is left without an answer when no upstream replies."""
     front = Front(Upstream("silent"), deadline_ms=700)
     with front.run():
         start = time.time()
@@ -68,24 +70,25 @@
         for name in ("www.lpo.example.", "e164.arpa.", "x.4.9.e164.arpa.", "44.9.e164.arpa."):
             assert client.ask(name).rcode() == dns.rcode.REFUSED
         client.sock.send(client.query().to_wire()[:20])
-        broken = client.hear()
-        assert broken is not None and broken.rcode() == dns.rcode.FORMERR
+        malformed = client.hear()
+        assert malformed is not None and malformed.rcode() == dns.rcode.FORMERR
         client.sock.send(b"\0\1\x28\0" + bytes(8))  # opcode UPDATE
-        odd = client.hear()
-        assert odd is not None and odd.rcode() == dns.rcode.NOTIMP
-        # Never answered, or a reply to a reply goes on for ever.
-        for noise in (
+        unsupported = client.hear()
+        assert unsupported is not None and unsupported.rcode() == dns.rcode.NOTIMP
+        # These are never answered: two servers would answer each other's replies without end.
+        for unanswered in (
             b"",
             b"x",
             b"\0\1\x80\0" + bytes(8),
         ):
-            client.sock.send(noise)
+            client.sock.send(unanswered)
         assert client.ask().rcode() == dns.rcode.NOERROR
         assert not upstream.queries[1:]
         assert running.counters()["enum.malformed"] == 5
 
 
 def test_replies_count_only_with_the_id_and_question_asked() -> None:
+    """Guards against forged replies: ids and source ports must not be predictable, others are dropped."""
     upstream = Upstream("forge")
     front = Front(upstream)
     with front.run() as running:
@@ -101,6 +104,7 @@
 
 
 def test_a_truncated_reply_is_asked_again_over_tcp_and_cut_to_the_clients_size() -> None:
+    """A reply too large for UDP is fetched over TCP; each client gets what fits its own transport."""
     upstream = Upstream("truncate")
     upstream.records = 40
     front = Front(upstream)
@@ -108,7 +112,7 @@
         client = Client(front.port)
         small = client.ask(edns=-1)
         assert small.flags & dns.flags.TC and len(small.to_wire()) <= 512
-        assert [way for _, way, *_ in upstream.queries] == ["udp", "tcp"]
+        assert [transport for _, transport, *_ in upstream.queries] == ["udp", "tcp"]
         large = client.ask(payload=4096)
         assert not large.flags & dns.flags.TC and len(large.answer[0]) == 40
         with socket.create_connection(("127.0.0.1", front.port)) as sock:
@@ -121,10 +125,11 @@
                 ]
         assert {a.id for a in answers} == {q.id for q in queries}
         assert all(len(a.answer[0]) == 40 for a in answers)
-        assert running.counters()["attempts.placed"] == 5  # TCP belongs to the attempt of its UDP exchange
+        assert running.counters()["attempts.placed"] == 5  # the exchange over TCP counts as the same attempt
 
 
 def test_a_retransmission_joins_the_look_up_under_way() -> None:
+    """Guards against a second query upstream, and a second answer, for a retransmitted query."""
     upstream = Upstream("silent")
     front = Front(upstream, deadline_ms=800)
     with front.run() as running:
@@ -141,6 +146,7 @@
 
 
 def test_upstreams_are_drained_and_changed_while_running() -> None:
+    """A reload must lose no look-up, and nothing goes to a draining upstream after its grace."""
     old, new = Upstream(), Upstream()
     front = Front(old, new)
     with front.run() as running:
@@ -149,11 +155,11 @@
         assert old.came() and new.came()
         front.write({"u0": (old.port, True), "u1": (new.port, False)})
         running.process.send_signal(signal.SIGHUP)
-        told = time.time()
+        reloaded_at = time.time()
         for n in range(60):
             assert client.ask(f"{n % 10}.{NUMBER}").rcode() == dns.rcode.NOERROR
             time.sleep(0.01)
-        assert max(when for when, *_ in old.queries) <= told + 0.25
+        assert max(when for when, *_ in old.queries) <= reloaded_at + 0.25
         third = Upstream()
         front.write({"u2": (third.port, False)})
         running.process.send_signal(signal.SIGHUP)
@@ -167,22 +173,22 @@
 
 
 @pytest.mark.alone
-@pytest.mark.parametrize("sick", [False, True])
-def test_500_look_ups_a_second_get_one_answer_each_before_their_deadline(sick: bool) -> None:
-    """With `sick`, one of two upstreams goes silent in the middle of the burst."""
+@pytest.mark.parametrize("silent", [False, True])
+def test_500_look_ups_a_second_get_one_answer_each_before_their_deadline(silent: bool) -> None:
+    """Guards against lost, late and double answers; with `silent`, one of two upstreams stops answering."""
     rate, seconds = 500, 3
     upstreams = [Upstream(), Upstream()]
     front = Front(*upstreams)
     with front.run() as running:
         client = Client(front.port)
-        asked: dict[int, float] = {}
-        heard: list[tuple[int, float, int]] = []
+        sent_at: dict[int, float] = {}  # query id -> time
+        answers: list[tuple[int, float, int]] = []  # query id, time, response code
         done = threading.Event()
 
         def listen() -> None:
             while not done.is_set():
                 if (answer := client.hear(0.2)) is not None:
-                    heard.append((answer.id, time.time(), answer.rcode()))
+                    answers.append((answer.id, time.time(), answer.rcode()))
 
         listener = threading.Thread(target=listen)
         listener.start()
@@ -191,24 +197,24 @@
             time.sleep(max(0.0, start + n / rate - time.time()))
             query = client.query(".".join(f"{n:04d}") + "." + NUMBER)
             query.id = n
-            asked[n] = time.time()
+            sent_at[n] = time.time()
             client.send(query)
-            if sick and n == rate:
+            if silent and n == rate:
                 upstreams[0].mode = "silent"
-        peers.until(lambda: len(heard) >= len(asked), 5.0, f"all answers: {running.counters()}")
-        time.sleep(0.3)  # a second answer would come now
+        peers.until(lambda: len(answers) >= len(sent_at), 5.0, f"all answers: {running.counters()}")
+        time.sleep(0.3)  # time for a second answer to arrive
         done.set()
         listener.join()
-        assert Counter(ident for ident, *_ in heard) == dict.fromkeys(asked, 1)
-        assert max(when - asked[ident] for ident, when, _ in heard) < front.deadline_ms / 1000
-        codes = Counter(code for *_, code in heard)
-        assert codes[dns.rcode.NOERROR] > (0.6 if sick else 0.99) * len(asked), codes
+        assert Counter(ident for ident, *_ in answers) == dict.fromkeys(sent_at, 1)
+        assert max(when - sent_at[ident] for ident, when, _ in answers) < front.deadline_ms / 1000
+        codes = Counter(code for *_, code in answers)
+        assert codes[dns.rcode.NOERROR] > (0.6 if silent else 0.99) * len(sent_at), codes
         counters = running.counters()
         assert counters["answers.stands"] == codes[dns.rcode.NOERROR]
-        # No second query out at once: the same number was asked again only after its first attempt was over.
-        times: dict[str, float] = {}
+        # One attempt at a time: a number is queried again only after its first attempt is over.
+        last_query: dict[str, float] = {}
         for when, _, query, _ in sorted((q for u in upstreams for q in u.queries), key=lambda q: q[0]):
             name = str(query.question[0].name)
-            assert when - times.get(name, 0.0) >= 0.25, f"two queries out for {name}"
-            times[name] = when
+            assert when - last_query.get(name, 0.0) >= 0.25, f"two attempts at once for {name}"
+            last_query[name] = when
         assert running.stop() == 0
--- a/tests/test_enum_start.py
+++ b/tests/test_enum_start.py
@@ -1,4 +1,4 @@
-"""The ENUM front as it comes up, with the store's configuration arriving in the middle of it."""
+"""Start of the ENUM front while a configuration arrives from the store."""
 
 from __future__ import annotations
 
@@ -24,44 +24,47 @@
 def test_a_configuration_that_comes_while_the_sockets_are_opened_is_served(
     when: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With the pool as it was remembered, and one of its servers draining."""
+    """The front must not keep the placeholder it was started with.
+
+    The restored pool and the configuration arrive while a socket is opened; one server is draining.
+    """
     upstream, port = Upstream(), free_port()
-    own = {"listen": f"127.0.0.1:{port}"}
+    instance_keys = {"listen": f"127.0.0.1:{port}"}
     text = (
         '[[upstream]]\nname = "north"\naddress = "127.0.0.1:9"\ndraining = true\n'
         f'[[upstream]]\nname = "south"\naddress = "127.0.0.1:{upstream.port}"\n'
     )
-    latest = read_store_config(text, own)
-    front = EnumFront(read_store_config(PLACEHOLDER_CONFIG, own), Counters(), Log())
-    true: Callable[..., Awaitable[Any]] = getattr(anyio, when)
+    latest = read_store_config(text, instance_keys)
+    front = EnumFront(read_store_config(PLACEHOLDER_CONFIG, instance_keys), Counters(), Log())
+    original: Callable[..., Awaitable[Any]] = getattr(anyio, when)
 
-    async def opening(**arguments: Any) -> Any:
+    async def open_socket(**arguments: Any) -> Any:
         if front.members == 0:
-            front.remember(rows(latest))
+            front.remember(server_records(latest))
             front.apply(latest)
-        return await true(**arguments)
+        return await original(**arguments)
 
-    monkeypatch.setattr(anyio, when, opening)
-    served: list[int] = []
+    monkeypatch.setattr(anyio, when, open_socket)
+    rcodes: list[int] = []
 
-    async def play() -> None:
+    async def run_front() -> None:
         stop = anyio.Event()
         async with anyio.create_task_group() as tasks:
             await tasks.start(front.run, stop)
             client = Client(port)
             for n in range(10):
                 answer = await run_sync(client.ask, f"{n}.4.3.2.1.1.1.4.9.e164.arpa.")
-                served.append(answer.rcode())
+                rcodes.append(answer.rcode())
             assert front.members == 2
             tasks.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(run_front)
     upstream.close()
-    assert served == [0] * 10
+    assert rcodes == [0] * 10
 
 
-def rows(config: EnumSettings) -> list[ServerRecord]:
-    """As the pool view has them."""
+def server_records(config: EnumSettings) -> list[ServerRecord]:
+    """The servers of a configuration, as the stored pool view has them."""
     return [
         ServerRecord(
             i.ServerEntry(server_name(u.name, u.address), n, "draining" if u.draining else "ready"),
