--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -358,7 +358,7 @@
             number = self._numbers.setdefault(server, max(self._numbers.values(), default=-1) + 1)
             state = "draining" if upstream.draining else "ready"
             records.append(ServerRecord(interface.ServerEntry(server, number, state), upstream.address))
-        while len(self._numbers) > MAX_NUMBERS:  # upstreams of earlier configurations
+        while len(self._numbers) > MAX_NUMBERS:  # bounds the memory kept for earlier upstreams
             kept = {record.entry.server for record in records}
             del self._numbers[next(name for name in self._numbers if name not in kept)]
         return records
