--- a/harepick/gapping/auto_gaps.py
+++ b/harepick/gapping/auto_gaps.py
@@ -10,9 +10,11 @@
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
 
-HOLD_DEMAND = 0.5  # part of `per_s`: a gap starts at `per_s` and is relaxed only below this part of it
+HOLD_DEMAND = (
+    0.5  # share of `per_s`: a gap starts at `per_s`, and is relaxed only while demand is below this share
+)
 RELAX_STEPS = 3  # halvings of the interval before a gap ends
-RENEW_AGE = 0.5  # part of the time to live after which a gap that is still needed is renewed
+RENEW_AGE = 0.5  # share of the time to live after which a gap that is still needed is renewed
 MAX_ACTIVE = 64  # automatic gaps at once
 # First characters of the keys under which instances report rates. A number consists of + and digits; its
 # failed calls are reported under the same digits after a minus sign.
@@ -24,7 +26,7 @@
     """The table `[autogap]` of the configuration."""
 
     per_s: float  # calls per second to one number, over the fleet, from which a gap may start
-    failing: float = 0.5  # part of these calls that must fail
+    failing: float = 0.5  # share of these calls that must fail
     after: float = 2.0  # seconds for which both conditions must hold
     interval: float = 1.0  # of the gap, in seconds
     ttl: float = 10.0  # time to live of a gap, and of each step in which it is relaxed, in seconds
@@ -37,7 +39,7 @@
 
     number: str
     interval: float  # seconds
-    evidence: float  # seconds for which the need was observed
+    evidence: float  # seconds for which the conditions have held; at a renewal, since the last proposal
     why: str
 
 
@@ -45,7 +47,7 @@
 class _NumberState:
     """The leader's state of one number; times are in seconds."""
 
-    overloaded_since: float | None = None  # when the conditions for a gap were first met
+    conditions_met_since: float | None = None  # since when all conditions for a gap have held
     step: int = 0  # halvings of the interval so far
     proposed_at: float = float("-inf")  # when its gap was last set or renewed
     seen_active: bool = False  # its gap has been among the verdicts since then
@@ -91,6 +93,7 @@
         for number in [n for n in self._numbers if n not in rates and n not in active_gaps]:
             del self._numbers[number]  # no instance reports demand for it
         for number in active_gaps:
+            # An active gap for whose number no instance reports demand is judged as without demand.
             rates = rates if number in rates else {**rates, number: (0.0, 0.0)}
         proposals: list[GapProposal] = []
         for number, (offered, failed) in rates.items():
@@ -100,14 +103,14 @@
             elif number in active_gaps:
                 proposals += self._renew_or_relax(number, state, settings, offered, active_gaps[number], now)
             else:
-                proposals += self._start(number, state, settings, offered, failed, now)
+                proposals += self._propose_new(number, state, settings, offered, failed, now)
         free = MAX_ACTIVE - len(active_gaps)
         for proposal in proposals:
             if proposal.number in active_gaps or free > 0:
                 free -= proposal.number not in active_gaps
                 yield proposal
 
-    def _start(
+    def _propose_new(
         self,
         number: str,
         state: _NumberState,
@@ -116,25 +119,29 @@
         failed: float,
         now: float,
     ) -> Iterator[GapProposal]:
-        """Proposes a gap on a number that has none, once the conditions have held for `settings.after`."""
+        """Proposes a gap on a number that has none, once the conditions have held for `settings.after`.
+
+        After an operator lifted the number's gap, proposes none until demand has fallen.
+        """
         if state.seen_active:  # its gap is gone: the time to live ran out, or an operator lifted it
             state.suppressed = (
                 now < state.proposed_at + settings.ttl and offered >= HOLD_DEMAND * settings.per_s
             )
-            state.seen_active, state.overloaded_since, state.step = False, None, 0
+            state.seen_active, state.conditions_met_since, state.step = False, None, 0
         if state.suppressed and offered >= HOLD_DEMAND * settings.per_s:
             return
         state.suppressed = False
         if offered < settings.per_s or failed < settings.failing * offered:
-            state.overloaded_since = None
+            state.conditions_met_since = None
             return
-        if state.overloaded_since is None:
-            state.overloaded_since = now
-        if now - state.overloaded_since >= settings.after and now - state.proposed_at >= settings.after:
+        if state.conditions_met_since is None:
+            state.conditions_met_since = now
+        # The gap of a proposal made less than `after` ago may not be active yet: it is not proposed again.
+        if now - state.conditions_met_since >= settings.after and now - state.proposed_at >= settings.after:
             state.proposed_at, state.step = now, 0
-            failed_part = failed / offered
-            why = f"{offered:.0f} calls a second, {failed_part:.0%} of them for nothing"
-            yield GapProposal(number, settings.interval, now - state.overloaded_since, why)
+            failed_share = failed / offered
+            why = f"{offered:.0f} calls a second, {failed_share:.0%} of them for nothing"
+            yield GapProposal(number, settings.interval, now - state.conditions_met_since, why)
 
     def _renew_or_relax(
         self,
@@ -148,6 +155,7 @@
         """Renews an active gap while demand lasts, halves its interval as demand falls, and restores it when
         demand returns."""
         if not state.seen_active:  # seen for the first time; a new leader derives the step from the interval
+            # When another leader proposed the gap is not known: a fixed share of its time to live is assumed.
             state.seen_active, state.proposed_at = (
                 True,
                 max(state.proposed_at, now - (1 - RENEW_AGE) * settings.ttl),
--- a/harepick/gapping/config.py
+++ b/harepick/gapping/config.py
@@ -16,7 +16,7 @@
 from harepick.gapping.auto_gaps import AutoGapSettings
 from harepick.gapping.gaps import BLOCK_ALL, NUMBERING_PLANS, GapError
 
-ROW_KEYS = {
+GAP_KEYS = {
     "id",
     "number",
     "prefix",
@@ -59,12 +59,15 @@
     plan: str = "e164"
 
     def over(self, now: float) -> bool:
-        """Whether the gap has ended, as far as the row alone shows (Unix seconds)."""
+        """Whether the gap has ended at `now` (Unix seconds).
+
+        A row without `since` counts as active before `until`: only the screen knows when it took effect.
+        """
         return min(self.until, self.since + self.for_s if self.since else inf) <= now
 
 
 def read_rows(rows: Any, where: str, plan: str) -> tuple[GapRow, ...]:
-    """Reads the rows under the key `where` of a configuration.
+    """Reads the rows under the key `where` of a configuration, such as `gaps`.
 
     `plan` is the numbering plan of a row that names none. Raises `GapError`.
     """
@@ -74,16 +77,16 @@
         raise GapError(f"{where} is not a list of gaps")
     if len(rows) > MAX_ROWS:
         raise GapError(f"{where} has more than {MAX_ROWS} gaps")
-    read: dict[str, GapRow] = {}
+    rows_by_id: dict[str, GapRow] = {}
     for position, row in enumerate(rows):
         try:
             gap = _read_row(row, plan)
         except GapError as error:
             raise GapError(f"{where}[{position}].{error}") from None
-        if gap.id in read:
+        if gap.id in rows_by_id:
             raise GapError(f"{where}[{position}].id is there twice: {gap.id!r}")
-        read[gap.id] = gap
-    return tuple(read.values())
+        rows_by_id[gap.id] = gap
+    return tuple(rows_by_id.values())
 
 
 AUTOGAP_RANGES = {  # key of `[autogap]` -> field of AutoGapSettings, minimum, maximum
@@ -120,7 +123,7 @@
 def _read_row(row: Any, plan: str) -> GapRow:
     if not isinstance(row, Mapping):
         raise GapError(f"id: the gap is not a table: {row!r}")
-    for key in sorted(row.keys() - ROW_KEYS):
+    for key in sorted(row.keys() - GAP_KEYS):
         raise GapError(f"{key} is not known")
     interval_value = row.get("interval_s")
     if interval_value == "none":
--- a/harepick/gapping/gaps.py
+++ b/harepick/gapping/gaps.py
@@ -12,7 +12,7 @@
 from math import floor, inf
 from operator import attrgetter
 
-MAX_GAPS = 200_000
+MAX_GAPS = 200_000  # of one instance
 MAX_BROAD_GAPS = 256  # gaps with neither number nor prefix: every call is matched against each of them
 BLOCK_ALL = inf  # interval of a gap that passes no call
 # Format of the called number on each service. ENUM uses E.164 numbers (ITU-T E.164, section 6); the platform
@@ -45,6 +45,7 @@
     start: float = 0.0
     end: float = inf  # exclusive
     inherit: bool = True  # broader gaps that match the call apply as well
+    # For operators: why the gap was set, and who set it. Decisions do not depend on them.
     reason: str = ""
     owner: str = ""
     plan: str = "e164"  # numbering plan of `number` and `prefix`: a key of `NUMBERING_PLANS`
@@ -82,11 +83,11 @@
     """
 
     passed: bool
-    gap: str = ""
+    gap: str = ""  # id
     retry_after: float = 0.0
 
 
-PASSED = GapDecision(True)
+PASS_DECISION = GapDecision(True)  # for a call that no gap refuses
 
 
 @dataclass(slots=True)
@@ -103,7 +104,7 @@
 
 
 def check_gap(gap: Gap, now: float, classes: Iterable[str] = ()) -> None:
-    """Raises `GapError` if the gap is invalid or already over; any class is valid if `classes` is empty."""
+    """Raises `GapError` if the gap is invalid or has ended; any class is valid if `classes` is empty."""
     if gap.plan not in NUMBERING_PLANS:
         raise GapError(f"plan is none of {sorted(NUMBERING_PLANS)}: {gap.plan!r}")
     pattern, description = NUMBERING_PLANS[gap.plan]
@@ -166,9 +167,9 @@
         self._by_id[gap.id] = state
         self._index_list(gap).append(state)
 
-    def lift(self, name: str) -> Gap | None:
+    def lift(self, gap_id: str) -> Gap | None:
         """Removes and returns the gap with that id; None if there is none."""
-        state = self._by_id.pop(name, None)
+        state = self._by_id.pop(gap_id, None)
         if state is None:
             return None
         gap, states = state.gap, self._index_list(state.gap)
@@ -198,11 +199,12 @@
         """
         applicable = self._applicable(call, now)
         if not applicable:
-            return PASSED
-        decision, longest_wait = PASSED, 0.0
+            return PASS_DECISION
+        decision, longest_wait = PASS_DECISION, 0.0
         for state in applicable:
             state.offered += 1
-            wait = _wait(state, now, owns)
+            wait = _seconds_until_pass(state, now, owns)
+            # Of several gaps that refuse the call, the one with the longest wait is reported.
             if wait is not None and (decision.passed or wait > longest_wait):
                 decision, longest_wait = GapDecision(False, state.gap.id, 0.0 if wait == inf else wait), wait
         for state in applicable:
@@ -216,11 +218,11 @@
     def explain(self, call: Call, now: float) -> list[tuple[Gap, bool]]:
         """The gaps that apply to a call, most specific first, and whether each would pass it; counts
         nothing."""
-        return [(state.gap, _wait(state, now) is None) for state in self._applicable(call, now)]
+        return [(state.gap, _seconds_until_pass(state, now) is None) for state in self._applicable(call, now)]
 
     def counts(self) -> Mapping[str, tuple[int, int, int]]:
         """Gap id -> calls offered, passed, and refused by that gap."""
-        return {name: (state.offered, state.passed, state.refused) for name, state in self._by_id.items()}
+        return {gap_id: (state.offered, state.passed, state.refused) for gap_id, state in self._by_id.items()}
 
     def _index_list(self, gap: Gap) -> list[_GapState]:
         """The list in which the gap is indexed, created if there is none."""
@@ -260,10 +262,10 @@
 _sort_key = attrgetter("sort_key")
 
 
-def _wait(state: _GapState, now: float, owns: SlotOwnership | None = None) -> float | None:
+def _seconds_until_pass(state: _GapState, now: float, owns: SlotOwnership | None = None) -> float | None:
     """None if the gap passes a call now, or else the seconds until it may pass one.
 
-    Advances the state to the current slot.
+    Infinity for a gap that passes no call and has no end. Advances the state to the current slot.
     """
     gap = state.gap
     if gap.interval == 0:
@@ -273,6 +275,8 @@
     slot = floor((now - gap.start) / gap.interval)
     if slot > state.slot:  # never backwards: a clock that is set back must not let a slot be used twice
         state.slot, state.passed_in_slot = slot, 0
+    # `owns` numbers slots from the Unix epoch, `state.slot` from the gap's start, which is a multiple of the
+    # interval where slots have owners (`screen.py`).
     owned = owns is None or owns(gap.id, state.slot + round(gap.start / gap.interval))
     if state.passed_in_slot < gap.count and owned:
         return None
--- a/harepick/gapping/screen.py
+++ b/harepick/gapping/screen.py
@@ -27,7 +27,8 @@
 
 
 class GapScreen:
-    """Implements `harepick.core.messages.Screen` by the gaps of this instance."""
+    """The gaps of this instance as a `harepick.core.messages.Screen`: an admission check, which may refuse a
+    call with a Retry-After."""
 
     def __init__(self, zone: str = "", seed: int = 0, owns: SlotOwnership | None = None) -> None:
         """`zone` is the zone of this instance. `owns` tells whether this instance owns a slot of a gap
@@ -61,10 +62,10 @@
                 raise GapError(f"gap {row.id!r}: {error}") from None
             new_gaps[row.id] = gap
         changes: dict[str, list[str]] = {"set": [], "changed": [], "lifted": []}
-        for name in [name for name in self._rows if name not in {row.id for row in rows}]:
-            self._gaps.lift(name)
-            del self._rows[name]
-            changes["lifted"].append(name)
+        for gap_id in [gap_id for gap_id in self._rows if gap_id not in {row.id for row in rows}]:
+            self._gaps.lift(gap_id)
+            del self._rows[gap_id]
+            changes["lifted"].append(gap_id)
         for row in rows:
             if row.id in new_gaps:
                 changes["changed" if row.id in self._rows else "set"].append(row.id)
@@ -91,17 +92,19 @@
         return decision.retry_after + self._rng.random() * interval  # docs/design/gapping.md
 
     def ended(self, called: str, good: bool) -> None:
-        """Required by `Screen`; gaps do not depend on the outcome of calls."""
+        """Called when a call to that number has ended, `good` if with success; gaps do not depend on it."""
 
     def explain(self, called: str, class_name: str, now: float) -> list[Gap]:
         """The gaps that apply to such a call, most specific first; counts nothing."""
         return [gap for gap, _ in self._gaps.explain(Call(called, class_name, self._zone), now)]
 
     def uses(self) -> list[tuple[str, float, int]]:
-        """For each gap: its id, interval in seconds, and calls offered since the start."""
+        """For each gap: its id, interval in seconds, and calls offered so far."""
         counts = self._gaps.counts()
         return [
-            (name, gap.interval, counts[name][0]) for name, (_, gap) in self._rows.items() if name in counts
+            (gap_id, gap.interval, counts[gap_id][0])
+            for gap_id, (_, gap) in self._rows.items()
+            if gap_id in counts
         ]
 
     def counts(self) -> Mapping[str, tuple[int, int, int]]:
@@ -112,7 +115,8 @@
 def check_rows(rows: Sequence[GapRow], where: str, classes: Iterable[str]) -> None:
     """Checks rows for errors that do not depend on the time, before a configuration is stored.
 
-    Raises `GapError`, which names the row under the key `where` and its key that is wrong.
+    `where` is the key of the list of rows, such as `gaps`. Raises `GapError`, which names the row in that
+    list and the row's key that is wrong.
     """
     known_classes, broad_count = tuple(classes), 0
     for position, row in enumerate(rows):
--- a/harepick/gapping/slot_allocation.py
+++ b/harepick/gapping/slot_allocation.py
@@ -4,7 +4,8 @@
 depends on no clock, on no random number and not on the replica; a `SlotRequest` carries the first slot that
 its instance could still use. `slot_requests.py` is one instance's side. Design: `docs/design/gapping.md`.
 
-Slots are numbered from the Unix epoch: slot n is [n * interval, (n + 1) * interval).
+Slots are numbered from the Unix epoch: slot n is [n * interval, (n + 1) * interval). `gap` is a slot key
+(`slot_requests.slot_key`), which names a gap and its interval.
 """
 
 from __future__ import annotations
@@ -13,9 +14,9 @@
 from dataclasses import dataclass, field
 
 MAX_BLOCK = 16  # slots per block; bounds the slots that stay unused when their owner fails
-MAX_DEMANDS = 8  # instances per gap whose demand is kept; the one that requested longest ago is dropped
-MAX_GAPS = 4_096  # gaps with an allocation; the one requested longest ago is dropped
-MAX_BLOCKS_HELD = 8  # latest blocks kept per gap and instance; an instance requests one at a time
+MAX_INSTANCES_PER_GAP = 8  # instances whose demand is kept; the one that requested longest ago is dropped
+MAX_ALLOCATIONS = 4_096  # slot keys with an allocation; the one requested longest ago is dropped
+MAX_BLOCKS_KEPT = 8  # latest blocks kept per gap and instance; an instance requests one at a time
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +54,8 @@
 
     cursor: int = 0  # the first slot without an owner
     demand: OrderedDict[str, float] = field(default_factory=OrderedDict)  # instance -> last reported demand
-    held: dict[str, list[SlotBlock]] = field(default_factory=dict)  # instance -> its latest blocks
+    # Instance -> its latest blocks, ended ones included.
+    blocks_by_instance: dict[str, list[SlotBlock]] = field(default_factory=dict)
 
 
 class SlotAllocator:
@@ -70,11 +72,11 @@
         """
         state = self._gaps.pop(request.gap, None) or _GapAllocation()
         self._gaps[request.gap] = state
-        while len(self._gaps) > MAX_GAPS:
+        while len(self._gaps) > MAX_ALLOCATIONS:
             self._gaps.popitem(last=False)
         state.demand.pop(request.instance, None)
         state.demand[request.instance] = max(0.0, request.demand)
-        while len(state.demand) > MAX_DEMANDS:
+        while len(state.demand) > MAX_INSTANCES_PER_GAP:
             state.demand.popitem(last=False)
         total = sum(state.demand.values())
         share = state.demand[request.instance] / total if total > 0 else 1.0 / len(state.demand)
@@ -83,41 +85,43 @@
         first = max(state.cursor, request.first)
         state.cursor = first + length
         block = SlotBlock(request.gap, request.instance, first, length)
-        held = state.held.setdefault(request.instance, [])
-        held.append(block)
-        del held[:-MAX_BLOCKS_HELD]
-        for name in [name for name in state.held if name not in state.demand]:
-            del state.held[name]  # its demand was dropped: its blocks ended long ago
+        blocks = state.blocks_by_instance.setdefault(request.instance, [])
+        blocks.append(block)
+        del blocks[:-MAX_BLOCKS_KEPT]
+        for instance in [instance for instance in state.blocks_by_instance if instance not in state.demand]:
+            del state.blocks_by_instance[instance]  # its demand was dropped: its blocks ended long ago
         return block
 
     def blocks(self, gap: str, instance: str) -> list[SlotBlock]:
         """The latest blocks of an instance, oldest first."""
         state = self._gaps.get(gap)
-        return list(state.held.get(instance, ())) if state else []
+        return list(state.blocks_by_instance.get(instance, ())) if state else []
 
     def dump(self) -> list[tuple[str, int, list[tuple[str, float]], list[tuple[str, int, int]]]]:
         """The whole state for a snapshot, one row per gap: gap, cursor, demand, blocks."""
         return [
             (
-                name,
+                key,
                 state.cursor,
                 list(state.demand.items()),
                 [
                     (block.instance, block.first, block.length)
-                    for held in state.held.values()
-                    for block in held
+                    for blocks in state.blocks_by_instance.values()
+                    for block in blocks
                 ],
             )
-            for name, state in self._gaps.items()
+            for key, state in self._gaps.items()
         ]
 
     def load(self, rows: list[tuple[str, int, list[tuple[str, float]], list[tuple[str, int, int]]]]) -> None:
         """Replaces the state by that of a `dump`."""
         self._gaps = OrderedDict()
-        for name, cursor, demand, blocks in rows:
-            state = self._gaps[name] = _GapAllocation(cursor, OrderedDict(demand))
+        for key, cursor, demand, blocks in rows:
+            state = self._gaps[key] = _GapAllocation(cursor, OrderedDict(demand))
             for instance, first, length in blocks:
-                state.held.setdefault(instance, []).append(SlotBlock(name, instance, first, length))
+                state.blocks_by_instance.setdefault(instance, []).append(
+                    SlotBlock(key, instance, first, length)
+                )
 
     def cursor(self, gap: str) -> int:
         """The first slot of the gap without an owner; 0 for a gap without an allocation."""
--- a/harepick/gapping/slot_requests.py
+++ b/harepick/gapping/slot_requests.py
@@ -13,12 +13,13 @@
 from harepick.gapping.slot_allocation import MAX_BLOCK, SlotBlock, SlotRequest
 
 REQUEST_LEAD_S = 0.4  # before the last block ends, the next is requested: covers a commit and a short stall
-MAX_BLOCK_SPAN_S = 2.0  # of one block: for so long an instance without demand may still own slots
+# Longest span of one block, and so the longest time for which an instance that lost its demand owns slots.
+MAX_BLOCK_SPAN_S = 2.0
 DEMAND_AVERAGING_S = 1.0  # time constant of the demand
 MIN_DEMAND_PER_S = 0.05  # calls; an instance with less requests no slots
 REQUEST_TIMEOUT_S = 0.5  # after which a request that may be lost is sent again
 
-GapUse = tuple[str, float, int]  # gap, interval in seconds, calls offered since the start
+GapUse = tuple[str, float, int]  # gap, interval in seconds, calls offered so far
 
 
 def slot_key(gap: str, interval: float) -> str:
@@ -27,18 +28,20 @@
 
 
 class SlotRequester:
-    """This instance's demand and its last requests for slots."""
+    """Decides which slots this instance may use, and when it requests more of them."""
 
     def __init__(self, instance: str, blocks: Callable[[str, str], list[SlotBlock]], started: float) -> None:
         """`blocks(slot_key, instance)` returns committed blocks. `started` is the start of the process in
-        Unix seconds: its predecessor may have used the slots up to and including that moment's.
+        Unix seconds. An earlier process of the same instance may have used the slot of that moment and those
+        before it, so this one uses only later ones.
         """
         self._instance, self._blocks, self._started = instance, blocks, started
         self._intervals: dict[str, float] = {}
         self._samples: dict[
             str, tuple[float, int, float]
         ] = {}  # gap -> time, calls offered, calls per second
-        self._requested: dict[str, tuple[float, int]] = {}  # slot key -> time, end of the last block then
+        # Slot key -> time of the last request, and end of the last owned block at that time.
+        self._requested: dict[str, tuple[float, int]] = {}
 
     def owns(self, gap: str, slot: int) -> bool:
         """Whether this instance may use that slot (from the Unix epoch): it owns it and started before it."""
@@ -59,6 +62,7 @@
             slot = floor(now / interval)
             key = slot_key(gap, interval)
             end = max((block.end for block in self._blocks(key, self._instance)), default=slot)
+            # No request is due while the owned slots reach beyond the next slot and the lead time.
             if demand < MIN_DEMAND_PER_S or end > slot + 1 + ceil(REQUEST_LEAD_S / interval):
                 continue
             requested_at, end_then = self._requested.get(key, (float("-inf"), -1))
--- a/harepick/gapping/start_times.py
+++ b/harepick/gapping/start_times.py
@@ -30,13 +30,13 @@
 def _start_time(row: Mapping[str, Any], previous: Mapping[str, Any] | None, now: float) -> float:
     """Start of a gap whose row was `previous` before.
 
-    An unchanged gap keeps its start, also when it is over; a changed one keeps it unless it was over.
+    An unchanged gap keeps its start, also after its end; a changed one keeps it unless it had ended.
     """
     if previous is None or "since" not in previous or "for_s" not in previous:
         return now
     unchanged = {**row, "since": previous["since"]} == dict(previous)
-    over = previous["since"] + previous["for_s"] <= now
-    return float(previous["since"]) if unchanged or not over else now
+    ended = previous["since"] + previous["for_s"] <= now
+    return float(previous["since"]) if unchanged or not ended else now
 
 
 def with_start_times(text: str, latest: str, now: float) -> str:
--- a/harepick/simhost.py
+++ b/harepick/simhost.py
@@ -27,8 +27,8 @@
     1: interface.Outcome.CANCELLED,
     9: interface.Outcome.MOOT,
 }
-# Number of values that follow the name of each message.
-VALUE_COUNTS = {
+# Least number of values that follow the name of each message; further ones are ignored.
+MIN_VALUE_COUNTS = {
     "Frame": 2,
     "Go": 0,
     "OpenInstance": 3,
@@ -46,7 +46,7 @@
 
 
 class WireError(Exception):
-    """A line that violates the protocol."""
+    """A line that violates the simulator's protocol."""
 
 
 class Host:
@@ -55,11 +55,12 @@
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
         self._report_fields: dict[int, tuple[str, ...]] = {}
-        self._lists: dict[int, tuple[interface.ServerEntry, ...]] = {}
+        self._server_lists: dict[int, tuple[interface.ServerEntry, ...]] = {}
         self._failures: dict[int, str] = {}
         self._events: dict[str, Callable[[list[Any]], interface.Event]] = {
             "Targets": self._server_list,
             "Ingress": self._call_arrived,
+            # The protocol has the last two values in the other order than `CallStands`.
             "Flowing": lambda message: interface.CallStands(message[2], message[3], message[5], message[4]),
             "Settled": self._attempt_ended,
             "CancelledByClient": lambda message: interface.CallerLeft(message[2]),
@@ -83,7 +84,7 @@
         for message in messages:
             name = message[0]
             if name == "Census":
-                self._lists[message[1]] = tuple(_parse_entry(row) for row in message[2])
+                self._server_lists[message[1]] = tuple(_parse_entry(row) for row in message[2])
                 continue
             instance = message[1]
             if name in ("OpenInstance", "Halt"):
@@ -94,6 +95,7 @@
                     self._open_instance(now, message, replies)
             elif instance in self._controllers:
                 event = self._events[name](message)
+                # Consecutive messages for one instance are handled in one step.
                 if pending_events and pending_events[-1][0] == instance:
                     pending_events[-1][1].append(event)
                 else:
@@ -138,12 +140,12 @@
         kind = interface.ListKind(message[3])
         if kind is interface.ListKind.REFUSED:
             return interface.ServerList(kind)
-        if message[2] not in self._lists:
+        if message[2] not in self._server_lists:
             raise WireError(f"Targets: list {message[2]} was never sent")
-        return interface.ServerList(kind, self._lists[message[2]])
+        return interface.ServerList(kind, self._server_lists[message[2]])
 
     def _call_arrived(self, message: list[Any]) -> interface.Event:
-        flags = message[9] or 0
+        flags = message[9] or 0  # bits: 2 for a redial, 8 for a call in transit
         tenant = message[8] if isinstance(message[8], str) else ""
         return interface.CallArrived(
             call=message[2],
@@ -157,6 +159,7 @@
         )
 
     def _attempt_ended(self, message: list[Any]) -> interface.Event:
+        # The low four bits hold the cause; above them cause 3 has the wait in milliseconds.
         cause = message[8] or 0
         return interface.AttemptEnded(
             call=message[2],
@@ -184,6 +187,7 @@
             return {key: value for key, value in usage if isinstance(value, int | float) and value >= 0}
         return {
             key: value
+            # A report may be shorter than the configured fields.
             for key, value in zip(self._report_fields[instance], usage, strict=False)
             if value is not None and value >= 0
         }
@@ -235,10 +239,10 @@
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         raise WireError(f"not a message: {line[:80].strip()!r}")
     name = message[0]
-    if name not in VALUE_COUNTS:
+    if name not in MIN_VALUE_COUNTS:
         raise WireError(f"unknown message {name}")
-    if len(message) - 1 < VALUE_COUNTS[name]:
-        raise WireError(f"{name}: {len(message) - 1} values, {VALUE_COUNTS[name]} wanted")
+    if len(message) - 1 < MIN_VALUE_COUNTS[name]:
+        raise WireError(f"{name}: {len(message) - 1} values, {MIN_VALUE_COUNTS[name]} wanted")
     return message
 
 
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -24,7 +24,7 @@
 from harepick.gapping.detector import AVERAGING_TIME_S, RESCALE_AFTER, Detector
 from harepick.settings import SettingsError, read_operator_file, read_store_config
 
-CLAIM, OTHER = "+94112345678", "+94551112222"
+HOT_NUMBER, OTHER_NUMBER = "+94112345678", "+94551112222"
 STORE_CONFIG = '[[upstream]]\nname = "s0"\naddress = "127.0.0.1:1"\n'
 
 
@@ -59,19 +59,19 @@
 
 def test_many_numbers_called_once_make_none_heavy_and_hide_no_heavy_one() -> None:
     detector, now = Detector(64), 0.0
-    for n in range(20_000):  # 1,000 calls per second, one in twenty to the claim number
+    for n in range(20_000):  # 1,000 calls per second, one in twenty to the hot number
         now = n / 1000
-        number = CLAIM if n % 20 == 0 else f"+9{n:09d}"
+        number = HOT_NUMBER if n % 20 == 0 else f"+9{n:09d}"
         detector.offered(number, now)
         detector.ended(number, n % 40 == 0, now)
     rates = detector.heaviest(now, 5.0)
-    assert rates.keys() == {CLAIM}
-    offered, failed = rates[CLAIM]
+    assert rates.keys() == {HOT_NUMBER}
+    offered, failed = rates[HOT_NUMBER]
     assert 30 < offered < 55 and failed == pytest.approx(offered / 2, rel=0.3)
     # Long after the weights got a new reference time.
     later = now + 3 * RESCALE_AFTER * AVERAGING_TIME_S
-    detector.offered(CLAIM, later)
-    assert detector.rate(CLAIM, later)[0] == pytest.approx(1 / AVERAGING_TIME_S, rel=0.01)
+    detector.offered(HOT_NUMBER, later)
+    assert detector.rate(HOT_NUMBER, later)[0] == pytest.approx(1 / AVERAGING_TIME_S, rel=0.01)
 
 
 # The policy
@@ -79,8 +79,8 @@
 SETTINGS = AutoGapSettings(per_s=40.0, failing=0.5, after=2.0, interval=1.0, ttl=10.0)
 
 
-class Fleet:
-    """Applies the proposals of the policy and ends gaps after their time to live, as a leader does."""
+class LeaderModel:
+    """A simulated leader: applies the proposals of the policy and ends gaps after their time to live."""
 
     def __init__(self, settings: AutoGapSettings = SETTINGS) -> None:
         self.settings, self.policy, self.now = settings, AutoGaps(), 0.0
@@ -108,81 +108,81 @@
 
 
 def test_a_gap_starts_only_after_high_demand_and_many_failures_have_lasted() -> None:
-    fleet = Fleet()
-    fleet.run(20.0, {CLAIM: (39.0, 39.0), OTHER: (500.0, 100.0)})
-    assert not fleet.gaps, "demand below the rate, or too few failures"
-    fleet.run(1.9, {CLAIM: (60.0, 40.0)})
-    fleet.run(0.2, {CLAIM: (60.0, 20.0)})  # few failures for a moment: the time counts again
-    fleet.run(1.9, {CLAIM: (60.0, 40.0)})
-    assert not fleet.gaps
-    fleet.run(0.3, {CLAIM: (60.0, 40.0)})
-    assert fleet.gaps.keys() == {CLAIM} and fleet.gaps[CLAIM][0] == 1.0
+    leader = LeaderModel()
+    leader.run(20.0, {HOT_NUMBER: (39.0, 39.0), OTHER_NUMBER: (500.0, 100.0)})
+    assert not leader.gaps, "demand below the rate, or too few failures"
+    leader.run(1.9, {HOT_NUMBER: (60.0, 40.0)})
+    leader.run(0.2, {HOT_NUMBER: (60.0, 20.0)})  # few failures for a moment: the time counts again
+    leader.run(1.9, {HOT_NUMBER: (60.0, 40.0)})
+    assert not leader.gaps
+    leader.run(0.3, {HOT_NUMBER: (60.0, 40.0)})
+    assert leader.gaps.keys() == {HOT_NUMBER} and leader.gaps[HOT_NUMBER][0] == 1.0
 
 
 def test_a_gap_lasts_as_long_as_demand_then_is_relaxed_in_steps_and_ends() -> None:
-    fleet = Fleet()
-    fleet.run(3.0, {CLAIM: (60.0, 60.0)})
-    fleet.run(60.0, {CLAIM: (60.0, 0.0)})  # calls succeed now because of the gap
-    assert fleet.gaps[CLAIM][0] == 1.0 and 10 <= len(fleet.proposals) <= 14, (
+    leader = LeaderModel()
+    leader.run(3.0, {HOT_NUMBER: (60.0, 60.0)})
+    leader.run(60.0, {HOT_NUMBER: (60.0, 0.0)})  # calls succeed now because of the gap
+    assert leader.gaps[HOT_NUMBER][0] == 1.0 and 10 <= len(leader.proposals) <= 14, (
         "renewed now and then, not at each evaluation"
     )
-    fleet.run(60.0, {CLAIM: (HOLD_DEMAND * 40.0 + 1, 0.0)})
-    assert fleet.gaps[CLAIM][0] == 1.0, "between the two bounds nothing changes"
-    fleet.proposals.clear()
-    fleet.run(60.0, {CLAIM: (5.0, 0.0)})
-    assert [interval for *_, interval in fleet.proposals] == [1.0 / 2**n for n in range(1, RELAX_STEPS + 1)]
-    assert not fleet.gaps and fleet.proposals[-1][0] - fleet.proposals[0][0] > 15.0
+    leader.run(60.0, {HOT_NUMBER: (HOLD_DEMAND * 40.0 + 1, 0.0)})
+    assert leader.gaps[HOT_NUMBER][0] == 1.0, "between the two bounds nothing changes"
+    leader.proposals.clear()
+    leader.run(60.0, {HOT_NUMBER: (5.0, 0.0)})
+    assert [interval for *_, interval in leader.proposals] == [1.0 / 2**n for n in range(1, RELAX_STEPS + 1)]
+    assert not leader.gaps and leader.proposals[-1][0] - leader.proposals[0][0] > 15.0
     # The whole interval applies again at once if demand returns while the gap is relaxed.
-    fleet.run(3.0, {CLAIM: (60.0, 60.0)})
-    fleet.run(15.0, {CLAIM: (5.0, 0.0)})
-    assert fleet.gaps[CLAIM][0] < 1.0
-    fleet.run(0.3, {CLAIM: (60.0, 0.0)})
-    assert fleet.gaps[CLAIM][0] == 1.0
+    leader.run(3.0, {HOT_NUMBER: (60.0, 60.0)})
+    leader.run(15.0, {HOT_NUMBER: (5.0, 0.0)})
+    assert leader.gaps[HOT_NUMBER][0] < 1.0
+    leader.run(0.3, {HOT_NUMBER: (60.0, 0.0)})
+    assert leader.gaps[HOT_NUMBER][0] == 1.0
 
 
 def test_demand_that_varies_around_the_threshold_neither_ends_nor_relaxes_the_gap() -> None:
-    fleet = Fleet()
+    leader = LeaderModel()
     for _ in range(30):
-        fleet.run(2.5, {CLAIM: (41.0, 41.0)})
-        fleet.run(2.5, {CLAIM: (38.0, 38.0)})
-    assert CLAIM in fleet.gaps and {interval for *_, interval in fleet.proposals} == {1.0}
+        leader.run(2.5, {HOT_NUMBER: (41.0, 41.0)})
+        leader.run(2.5, {HOT_NUMBER: (38.0, 38.0)})
+    assert HOT_NUMBER in leader.gaps and {interval for *_, interval in leader.proposals} == {1.0}
 
 
 def test_a_gap_that_an_operator_lifts_is_not_set_again_until_demand_has_fallen() -> None:
-    fleet = Fleet()
-    fleet.run(4.0, {CLAIM: (60.0, 60.0)})
-    del fleet.gaps[CLAIM]
-    fleet.run(30.0, {CLAIM: (60.0, 60.0)})
-    assert not fleet.gaps
-    fleet.run(1.0, {CLAIM: (10.0, 10.0)})
-    fleet.run(3.0, {CLAIM: (60.0, 60.0)})
-    assert CLAIM in fleet.gaps
-    fleet.run(11.0, {CLAIM: (60.0, 60.0)}, configured_numbers=frozenset({CLAIM}))
-    assert not fleet.gaps, "a configured gap takes precedence"
+    leader = LeaderModel()
+    leader.run(4.0, {HOT_NUMBER: (60.0, 60.0)})
+    del leader.gaps[HOT_NUMBER]
+    leader.run(30.0, {HOT_NUMBER: (60.0, 60.0)})
+    assert not leader.gaps
+    leader.run(1.0, {HOT_NUMBER: (10.0, 10.0)})
+    leader.run(3.0, {HOT_NUMBER: (60.0, 60.0)})
+    assert HOT_NUMBER in leader.gaps
+    leader.run(11.0, {HOT_NUMBER: (60.0, 60.0)}, configured_numbers=frozenset({HOT_NUMBER}))
+    assert not leader.gaps, "a configured gap takes precedence"
 
 
 def test_a_new_leader_continues_from_the_active_gaps() -> None:
-    fleet = Fleet()
-    fleet.run(4.0, {CLAIM: (60.0, 60.0)})
-    fleet.run(15.0, {CLAIM: (1.0, 0.0)})
-    relaxed = fleet.gaps[CLAIM][0]
+    leader = LeaderModel()
+    leader.run(4.0, {HOT_NUMBER: (60.0, 60.0)})
+    leader.run(15.0, {HOT_NUMBER: (1.0, 0.0)})
+    relaxed = leader.gaps[HOT_NUMBER][0]
     assert relaxed < 1.0
-    fleet.policy, count_before = AutoGaps(), len(fleet.proposals)
-    fleet.gaps = {
-        number: (interval, fleet.now) for number, (interval, _) in fleet.gaps.items()
+    leader.policy, count_before = AutoGaps(), len(leader.proposals)
+    leader.gaps = {
+        number: (interval, leader.now) for number, (interval, _) in leader.gaps.items()
     }  # a new leader counts verdicts from its election
-    fleet.run(1.0, {})  # no instance has reported demand yet
-    assert fleet.gaps[CLAIM][0] == relaxed and len(fleet.proposals) == count_before
-    fleet.run(60.0, {CLAIM: (1.0, 0.0)})
-    assert not fleet.gaps and fleet.proposals[-1][2] == 1.0 / 2**RELAX_STEPS
+    leader.run(1.0, {})  # no instance has reported demand yet
+    assert leader.gaps[HOT_NUMBER][0] == relaxed and len(leader.proposals) == count_before
+    leader.run(60.0, {HOT_NUMBER: (1.0, 0.0)})
+    assert not leader.gaps and leader.proposals[-1][2] == 1.0 / 2**RELAX_STEPS
 
 
 def test_reported_call_rates_are_summed_over_instances() -> None:
     demands = {
-        "a": {CLAIM: 30.0, failed_rate_key(CLAIM): 20.0, "appeal": 5.0},
-        "b": {CLAIM: 20.0, "x@10.0.0.1": 1.0},
+        "a": {HOT_NUMBER: 30.0, failed_rate_key(HOT_NUMBER): 20.0, "appeal": 5.0},
+        "b": {HOT_NUMBER: 20.0, "x@10.0.0.1": 1.0},
     }
-    assert sum_call_rates(demands) == {CLAIM: (50.0, 20.0)}
+    assert sum_call_rates(demands) == {HOT_NUMBER: (50.0, 20.0)}
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gap_screen.py
+++ b/tests/test_gap_screen.py
@@ -12,12 +12,12 @@
 from harepick.gapping.screen import GapScreen
 from harepick.gapping.start_times import with_start_times
 
-CLAIM = "+94112345678"
+NUMBER = "+94112345678"
 
 
-def in_retry_window(retry_after: float | None, rest: float, interval: float) -> bool:
+def in_retry_window(retry_after: float | None, slot_rest: float, interval: float) -> bool:
     """Whether Retry-After is the rest of the slot plus less than one interval (seconds)."""
-    return retry_after is not None and rest - 1e-9 <= retry_after < rest + interval
+    return retry_after is not None and slot_rest - 1e-9 <= retry_after < slot_rest + interval
 
 
 def rows(*tables: dict[str, object]) -> tuple[GapRow, ...]:
@@ -28,13 +28,13 @@
 @pytest.mark.parametrize(
     ("row", "message"),
     [
-        ({"id": "g", "number": CLAIM}, "gaps[0].interval_s"),
-        ({"id": "g", "number": CLAIM, "interval_s": -1}, "gaps[0].interval_s"),
-        ({"id": "g", "number": CLAIM, "interval_s": 1, "count": 0}, "gaps[0].count"),
-        ({"id": "g", "number": CLAIM, "interval_s": 1, "for_s": 5, "until": 9}, "gaps[0].for_s and until"),
-        ({"id": "g", "number": CLAIM, "interval_s": 1, "colour": "red"}, "gaps[0].colour"),
-        ({"id": "g", "number": CLAIM, "interval_s": 1, "plan": "x"}, "gaps[0].plan"),
-        ({"id": "g", "number": CLAIM, "interval_s": 1, "inherit": "yes"}, "gaps[0].inherit"),
+        ({"id": "g", "number": NUMBER}, "gaps[0].interval_s"),
+        ({"id": "g", "number": NUMBER, "interval_s": -1}, "gaps[0].interval_s"),
+        ({"id": "g", "number": NUMBER, "interval_s": 1, "count": 0}, "gaps[0].count"),
+        ({"id": "g", "number": NUMBER, "interval_s": 1, "for_s": 5, "until": 9}, "gaps[0].for_s and until"),
+        ({"id": "g", "number": NUMBER, "interval_s": 1, "colour": "red"}, "gaps[0].colour"),
+        ({"id": "g", "number": NUMBER, "interval_s": 1, "plan": "x"}, "gaps[0].plan"),
+        ({"id": "g", "number": NUMBER, "interval_s": 1, "inherit": "yes"}, "gaps[0].inherit"),
     ],
 )
 def test_an_invalid_row_is_refused_by_its_key(row: dict[str, object], message: str) -> None:
@@ -44,7 +44,7 @@
 
 def test_a_duplicate_id_is_refused() -> None:
     with pytest.raises(GapError, match=r"gaps\[1\]\.id is there twice"):
-        rows({"id": "g", "number": CLAIM, "interval_s": 1}, {"id": "g", "prefix": "+94", "interval_s": 1})
+        rows({"id": "g", "number": NUMBER, "interval_s": 1}, {"id": "g", "prefix": "+94", "interval_s": 1})
 
 
 def test_letters_are_valid_in_platform_numbers_and_not_in_e164_numbers() -> None:
@@ -60,35 +60,35 @@
 def test_a_reload_changes_only_what_changed() -> None:
     screen = GapScreen()
     first = rows(
-        {"id": "radio", "number": CLAIM, "interval_s": 1, "for_s": 10},
+        {"id": "radio", "number": NUMBER, "interval_s": 1, "for_s": 10},
         {"id": "d", "prefix": "+9411", "interval_s": 0},
     )
     assert screen.apply(first, 100.0) == {"set": ["radio", "d"], "changed": [], "lifted": []}
-    assert screen.retry_after(CLAIM, "", 100.5) is None
+    assert screen.retry_after(NUMBER, "", 100.5) is None
     # The same rows again: the slot stays used, and the end stays 10 s after the first apply.
     assert screen.apply(first, 100.6) == {"set": [], "changed": [], "lifted": []}
-    assert in_retry_window(screen.retry_after(CLAIM, "", 100.7), 0.3, 1.0)
-    assert screen.retry_after(CLAIM, "", 109.95) is None and screen.retry_after(CLAIM, "", 110.0) is None
-    changed = rows({"id": "radio", "number": CLAIM, "interval_s": 2, "for_s": 60})
+    assert in_retry_window(screen.retry_after(NUMBER, "", 100.7), 0.3, 1.0)
+    assert screen.retry_after(NUMBER, "", 109.95) is None and screen.retry_after(NUMBER, "", 110.0) is None
+    changed = rows({"id": "radio", "number": NUMBER, "interval_s": 2, "for_s": 60})
     assert screen.apply(changed, 111.0) == {"set": [], "changed": ["radio"], "lifted": ["d"]}
-    assert screen.retry_after(CLAIM, "", 111.5) is None, "slots of 2 s from the first start: 110 to 112"
-    assert in_retry_window(screen.retry_after(CLAIM, "", 111.6), 0.4, 2.0)
+    assert screen.retry_after(NUMBER, "", 111.5) is None, "slots of 2 s from the first start: 110 to 112"
+    assert in_retry_window(screen.retry_after(NUMBER, "", 111.6), 0.4, 2.0)
 
 
 def test_a_changed_row_keeps_its_start_and_an_invalid_one_changes_nothing() -> None:
     screen = GapScreen()
-    screen.apply(rows({"id": "radio", "number": CLAIM, "interval_s": 1}), 100.0)
-    changes = screen.apply(rows({"id": "radio", "number": CLAIM, "interval_s": 2}), 100.5)
+    screen.apply(rows({"id": "radio", "number": NUMBER, "interval_s": 1}), 100.0)
+    changes = screen.apply(rows({"id": "radio", "number": NUMBER, "interval_s": 2}), 100.5)
     assert changes == {"set": [], "changed": ["radio"], "lifted": []}
-    assert screen.retry_after(CLAIM, "", 101.0) is None  # slots of 2 s from 100.0: 100 to 102
-    assert in_retry_window(screen.retry_after(CLAIM, "", 101.5), 0.5, 2.0)
+    assert screen.retry_after(NUMBER, "", 101.0) is None  # slots of 2 s from 100.0: 100 to 102
+    assert in_retry_window(screen.retry_after(NUMBER, "", 101.5), 0.5, 2.0)
     invalid = rows(
-        {"id": "radio", "number": CLAIM, "interval_s": 1},
+        {"id": "radio", "number": NUMBER, "interval_s": 1},
         {"id": "old", "prefix": "+9", "interval_s": 1, "until": 50},
     )
     with pytest.raises(GapError, match="gap 'old': end is past"):
         screen.apply(invalid, 101.6)
-    assert in_retry_window(screen.retry_after(CLAIM, "", 101.7), 0.3, 2.0), "nothing changed"
+    assert in_retry_window(screen.retry_after(NUMBER, "", 101.7), 0.3, 2.0), "nothing changed"
     assert len(screen) == 1
 
 
@@ -99,26 +99,26 @@
 
 def test_a_gap_is_lifted_at_its_end_and_counts_until_then() -> None:
     screen = GapScreen()
-    screen.apply(rows({"id": "g", "number": CLAIM, "interval_s": "none", "for_s": 2}), 0.0)
-    assert screen.retry_after(CLAIM, "", 1.0) == pytest.approx(1.0), (
+    screen.apply(rows({"id": "g", "number": NUMBER, "interval_s": "none", "for_s": 2}), 0.0)
+    assert screen.retry_after(NUMBER, "", 1.0) == pytest.approx(1.0), (
         "the time until its end, without a random part"
     )
     assert screen.counts() == {"g": (1, 0, 1)}
-    assert screen.retry_after(CLAIM, "", 2.5) is None and len(screen) == 0
+    assert screen.retry_after(NUMBER, "", 2.5) is None and len(screen) == 0
 
 
 def test_retry_after_is_spread_over_one_interval_and_repeatable_by_seed() -> None:
     screen = GapScreen(seed=7)
-    screen.apply(rows({"id": "g", "number": CLAIM, "interval_s": 1.0}), 0.0)
-    assert screen.retry_after(CLAIM, "", 0.0) is None
-    times = [screen.retry_after(CLAIM, "", 0.5) for _ in range(200)]
+    screen.apply(rows({"id": "g", "number": NUMBER, "interval_s": 1.0}), 0.0)
+    assert screen.retry_after(NUMBER, "", 0.0) is None
+    times = [screen.retry_after(NUMBER, "", 0.5) for _ in range(200)]
     assert all(in_retry_window(time, 0.5, 1.0) for time in times)
     spread = sorted(time for time in times if time is not None)
     assert spread[-1] - spread[0] > 0.8 and len(set(spread)) == 200  # not all at the start of the next slot
     again = GapScreen(seed=7)
-    again.apply(rows({"id": "g", "number": CLAIM, "interval_s": 1.0}), 0.0)
-    again.retry_after(CLAIM, "", 0.0)
-    assert [again.retry_after(CLAIM, "", 0.5) for _ in range(200)] == times, (
+    again.apply(rows({"id": "g", "number": NUMBER, "interval_s": 1.0}), 0.0)
+    again.retry_after(NUMBER, "", 0.0)
+    assert [again.retry_after(NUMBER, "", 0.5) for _ in range(200)] == times, (
         "the same seed gives the same times"
     )
 
@@ -141,10 +141,10 @@
         "radio",
         "desk",
     ]
-    explained = run(harepick, ["gap", "explain", CLAIM, str(path), "--json"])
+    explained = run(harepick, ["gap", "explain", NUMBER, str(path), "--json"])
     assert json.loads(explained.output)["gaps"] == ["radio", "district"]
-    own = run(harepick, ["gap", "explain", CLAIM, str(path), "--class", "desk", "--json"])
-    assert json.loads(own.output)["gaps"] == ["desk"], "it does not inherit, so no broader gap applies"
+    desk_call = run(harepick, ["gap", "explain", NUMBER, str(path), "--class", "desk", "--json"])
+    assert json.loads(desk_call.output)["gaps"] == ["desk"], "it does not inherit, so no broader gap applies"
     path.write_text('[[gap]]\nid = "x"\nnumber = "+94abc"\ninterval_s = 1\n')
     invalid = run(harepick, ["gap", "list", str(path)])
     assert invalid.exit_code == 1 and "number is no" in invalid.output
@@ -167,7 +167,7 @@
         "changed while it is active: it keeps its start"
     )
     assert "since = 100.0" in with_start_times(gap("a", for_s=60), first, 170.0), (
-        "unchanged after its end: it stays over"
+        "unchanged after its end: it stays ended"
     )
     assert "since = 170.0" in with_start_times(gap("a", for_s=90), first, 170.0), (
         "changed after its end: it starts again"
@@ -177,10 +177,10 @@
 
 
 def test_for_s_counts_from_since() -> None:
-    (row,) = rows({"id": "g", "number": CLAIM, "interval_s": "none", "for_s": 10, "since": 95.0})
+    (row,) = rows({"id": "g", "number": NUMBER, "interval_s": "none", "for_s": 10, "since": 95.0})
     assert not row.over(104.9) and row.over(105.0)
     screen = GapScreen()
     screen.apply([row], 100.0)
-    assert screen.retry_after(CLAIM, "", 104.0) is not None and screen.retry_after(CLAIM, "", 106.0) is None
+    assert screen.retry_after(NUMBER, "", 104.0) is not None and screen.retry_after(NUMBER, "", 106.0) is None
     with pytest.raises(GapError, match=r"gaps\[0\]\.since says nothing without for_s"):
-        rows({"id": "g", "number": CLAIM, "interval_s": 1, "since": 95.0})
+        rows({"id": "g", "number": NUMBER, "interval_s": 1, "since": 95.0})
