--- a/harepick/core/call_table.py
+++ b/harepick/core/call_table.py
@@ -1,7 +1,7 @@
 """The table of open calls, from the offer of a call to its end.
 
-A call has one final answer, at most one open attempt, and numbered attempts. Queries for an unknown call,
-or one past that state, return None, so that late or duplicate messages do no harm.
+A call has one final answer, at most one open attempt, and numbered attempts. `get` and `get_unanswered`
+return None for an unknown or ended call, so that late or duplicate messages do no harm.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class CallTable:
-    """All open calls by id, `capacity` at most, which may be changed."""
+    """All open calls by id; at most `capacity`, which a reload may change."""
 
     def __init__(self, capacity: int) -> None:
         self._calls: dict[str, CallRecord] = {}
@@ -45,10 +45,11 @@
         return call in self._calls
 
     def get(self, call: str) -> CallRecord | None:
+        """The record of a call; None if there is none."""
         return self._calls.get(call)
 
     def add(self, offer: Offer, attempt_limit: int) -> CallRecord:
-        """Adds a call that may have `limit` attempts."""
+        """Adds a call that may have `attempt_limit` attempts."""
         record = self._calls[offer.call] = CallRecord(offer, attempt_limit)
         return record
 
@@ -69,7 +70,7 @@
             1 for record in self._calls.values() if not record.answered or record.standing_server is not None
         )
 
-    def under_way(self, server: str) -> int:
+    def count_at(self, server: str) -> int:
         """Number of calls with an open attempt at the server, or standing there."""
         return sum(
             1
@@ -82,7 +83,7 @@
         """Calls that wait for their final answer."""
         return [record for record in self._calls.values() if not record.answered]
 
-    def close(self, record: CallRecord) -> None:
-        """Removes a call that is answered, has no open attempt and does not stand."""
+    def remove_if_ended(self, record: CallRecord) -> None:
+        """Removes the call if it is answered, has no open attempt and does not stand; else does nothing."""
         if record.answered and record.open_attempt is None and record.standing_server is None:
             self._calls.pop(record.offer.call, None)
--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -50,7 +50,7 @@
     """Runs the controller on messages from the inbox and keeps the table of open calls.
 
     `capacity` is the number of calls that may be open at once; `clock` returns Unix time in seconds. Without
-    a `gate` calls may always start; without a `screen` no call is gapped.
+    a `gate` calls may always start; without a `screen` no call is refused by a gap or limit.
     """
 
     def __init__(
@@ -78,9 +78,10 @@
         self._timers: Timers[int | Attempt | CallRecord] = Timers()
         self._ready_servers: set[str] = set()  # servers to which set-ups may be sent
         self._start_times: dict[str, float] = {}  # listed servers that are not gone -> last start
-        self._late_events: deque[interface.Event] = deque()  # ends of attempts that ended while being placed
-        # Calls given up in this batch. They stay in the table until the controller knows of it: otherwise an
-        # attempt that it decided on before would never end and would stay open in its state of that server.
+        self._follow_up_events: deque[interface.Event] = deque()  # caused by the actions of this batch
+        # Calls given up in this batch, removed at its end: the controller may send an attempt for such a call
+        # before it handles `CallerLeft`. Without the record the end of that attempt would not be reported,
+        # and it would stay open in the controller's state of the server.
         self._given_up: list[CallRecord] = []
         self._controller = Controller(settings, seed, clock())
         # Listed servers that get no new calls, as of the last batch.
@@ -113,33 +114,34 @@
 
     def under_way(self, server: str) -> int:
         """Calls with an open attempt at the server, or standing there."""
-        return self._calls.under_way(server)
+        return self._calls.count_at(server)
 
     @property
     def unanswered(self) -> int:
         """Calls that wait for their final answer."""
         return len(self._calls.unanswered())
 
-    async def run(self, known: interface.ServerList) -> None:
+    async def run(self, server_list: interface.ServerList) -> None:
         """Serves until cancelled."""
-        self.start(known)
+        self.start(server_list)
         while True:
             messages = await self._inbox.drain(self._timers.next_due() - self._clock())
             self.process(messages)
             # With more messages waiting, other tasks get one turn of the loop and the core goes on at once.
             await anyio.sleep(0 if len(self._inbox) else BATCH_DELAY_S)
 
-    def start(self, known: interface.ServerList) -> None:
+    def start(self, server_list: interface.ServerList) -> None:
         """Starts the controller with the server list known so far."""
         self._perform(self._controller.start())
-        self.process([ControllerEvent(known)])
+        self.process([ControllerEvent(server_list)])
 
     def process(self, messages: Sequence[Message]) -> None:
         """Handles one batch: messages, due timers, and the controller's actions."""
         now = self._clock()
         events: list[interface.Event] = []
-        # Concurrency limits first: they are computed from the call table as the controller knows it. After a
-        # new call of the same batch they would free the place that the controller has just taken for it.
+        # Concurrency limits first: a limit becomes a number of free lines, counted from the call table, which
+        # has no attempts yet for the new calls of this batch. After such a call, the number would include the
+        # line that the controller has just used for it.
         for message in messages:
             if isinstance(message, ConcurrencyLimit):
                 events += self._translate(message, now)
@@ -158,10 +160,10 @@
         while events:
             self._counters.add("core.events", len(events))
             self._perform(self._controller.step(now, events))
-            events = list(self._late_events)
-            self._late_events.clear()
+            events = list(self._follow_up_events)
+            self._follow_up_events.clear()
         for record in self._given_up:
-            self._calls.close(record)
+            self._calls.remove_if_ended(record)
         self._given_up.clear()
         # Published for the `ops` listener, which must not access the controller that this task owns.
         self.avoided = frozenset(self._controller.avoided() & self._start_times.keys())
@@ -214,7 +216,7 @@
                 return [self._end_standing_call(record, now, interface.Outcome.RESET) for record in standing]
             case ConcurrencyLimit(server, capacity):
                 # Passed on like a server's report of free lines: the controller counts down from it.
-                free = capacity - self._calls.under_way(server)
+                free = capacity - self._calls.count_at(server)
                 return [interface.Probed(server, interface.Outcome.OK, 0.0, {"free": free})]
             case ReplaceSettings(settings, capacity):
                 self._settings = settings
@@ -230,13 +232,13 @@
         if offer.caller.gone:  # the caller left before its call was handled
             self._counters.add("calls.given_up")
             return []
-        known = self._calls.get(offer.call)
-        if known is not None and known.answered and known.standing_server is None:
-            # Given up or answered, with an attempt still open: the caller may try again once that has ended.
+        existing = self._calls.get(offer.call)
+        if existing is not None and existing.answered and existing.standing_server is None:
+            # Answered or given up, and its attempt has not ended: the id can be used again once it has.
             self._counters.add("answers.ending")
             offer.caller.refused(self._retry_advice(self._settings.release_guard))
             return []
-        if known is not None:  # the open call keeps its id
+        if existing is not None:  # the open call keeps its id
             self._counters.add("calls.clashes")
             offer.caller.duplicate_id()
             return []
@@ -244,7 +246,7 @@
             self._counters.add("answers.closing")
             offer.caller.refused(0.0)
             return []
-        if self._calls.full:  # bounded memory: the caller gets the longest advice
+        if self._calls.full:  # bounded memory: the caller is told to wait for the longest time
             self._counters.add("answers.no_room")
             offer.caller.refused(self._retry_advice(self._settings.max_advice))
             return []
@@ -287,7 +289,7 @@
             record is None
             or attempt is None
             or record.answered
-            or attempt.revoked  # the cancel crossed this answer: the call is released there
+            or attempt.cancel_requested  # answered before the cancel arrived: the call is released there
             or (attempt.number, attempt.server) != (message.attempt, message.server)
             or now > attempt.deadline + self._settings.answer_grace
         ):
@@ -325,10 +327,10 @@
         attempt.ended = True
         record.open_attempt = None
         self._counters.add(f"attempts.{outcome.value}")
-        if attempt.revoked and outcome not in NO_EFFECT_OUTCOMES:
+        if attempt.cancel_requested and outcome not in NO_EFFECT_OUTCOMES:
             outcome = interface.Outcome.CANCELLED
         elapsed = now - (attempt.sent or attempt.placed)
-        self._calls.close(record)
+        self._calls.remove_if_ended(record)
         return [
             interface.AttemptEnded(
                 attempt.call, attempt.number, attempt.server, outcome, elapsed, record.answered, cause
@@ -387,7 +389,7 @@
         if notify_caller:
             record.offer.caller.over(cut=outcome is not interface.Outcome.OK)
         self._counters.add(f"calls.{outcome.value}")
-        self._calls.close(record)
+        self._calls.remove_if_ended(record)
         return interface.AttemptEnded(
             record.offer.call, record.standing_attempt, server, outcome, now - record.stood_at, True
         )
@@ -402,7 +404,7 @@
                 self._ready_servers.add(row.server)
             else:
                 self._ready_servers.discard(row.server)
-            if row.state == "gone":  # servers are replaced all the time: none is kept
+            if row.state == "gone":  # servers are replaced all the time: their start times are not kept
                 del self._start_times[row.server]
             if row.state == "gone" or restarted:
                 died_at = row.started if restarted and row.state != "gone" else now
@@ -420,11 +422,11 @@
                 case interface.Cancel(call, number):
                     self._cancel(call, number, now)
                 case interface.Refuse(call, come_back):
-                    if record := self._take_final_answer(call):
+                    if record := self._mark_answered(call):
                         self._counters.add("answers.refused")
                         record.offer.caller.refused(come_back)
                 case interface.Fail(call):
-                    if record := self._take_final_answer(call):
+                    if record := self._mark_answered(call):
                         self._counters.add("answers.failed")
                         record.offer.caller.failed()
                 case interface.WakeAfter(delay, token):
@@ -434,8 +436,8 @@
                 case _:
                     self._counters.add("core.actions_without_port")
 
-    def _take_final_answer(self, call: str) -> CallRecord | None:
-        """Marks an unanswered call as answered and returns it; None if it is not owed an answer."""
+    def _mark_answered(self, call: str) -> CallRecord | None:
+        """Marks a call as answered and returns it; None if it is unknown or already answered."""
         record = self._calls.get_unanswered(call)
         if record is None:
             self._counters.add("core.late_words")
@@ -443,7 +445,7 @@
         record.answered = True
         if self.screen is not None:
             self.screen.ended(record.offer.called, False)
-        self._calls.close(record)
+        self._calls.remove_if_ended(record)
         return record
 
     def _send(self, call: str, server: str, timeout: float, now: float) -> None:
@@ -468,24 +470,24 @@
                 self._gate.record_sent(attempt)
             return
         record.open_attempt = attempt
-        self._late_events.extend(self._on_attempt_ended(attempt, outcome, now))
+        self._follow_up_events.extend(self._on_attempt_ended(attempt, outcome, now))
 
     def _cancel(self, call: str, number: int, now: float) -> None:
         record = self._calls.get(call)
         attempt = record.open_attempt if record else None
-        if attempt is None or attempt.number != number or attempt.revoked:
+        if attempt is None or attempt.number != number or attempt.cancel_requested:
             return  # the attempt has ended meanwhile
-        attempt.revoked = True
+        attempt.cancel_requested = True
         self._counters.add("attempts.revoked")
-        # If the cancel is not sent yet, the end follows once it is: the release guard counts from then.
+        # Otherwise the end is reported once the cancel is sent: the release guard begins then.
         if self._servers.cancel(attempt):
-            self._late_events.extend(self._on_attempt_ended(attempt, interface.Outcome.CANCELLED, now))
+            self._follow_up_events.extend(self._on_attempt_ended(attempt, interface.Outcome.CANCELLED, now))
 
     def _may_send(self, attempt: Attempt, now: float) -> bool:
-        """The last check before a set-up is written: the rules must hold then, not only at the decision."""
+        """The last check before a set-up is written: what allowed the decision may have changed since."""
         if (
             attempt.ended
-            or attempt.revoked
+            or attempt.cancel_requested
             or now >= attempt.deadline
             or attempt.server not in self._ready_servers
         ):
--- a/harepick/core/inbox.py
+++ b/harepick/core/inbox.py
@@ -9,16 +9,16 @@
 
 from harepick.core.messages import Message
 
-ROOM = 8_192  # messages that may wait
-# Messages of one batch. Handling a batch blocks the event loop, and nothing is read from callers and the bus
+DEFAULT_CAPACITY = 8_192  # messages that may wait
+# Handling a batch blocks the event loop, and nothing is read from callers and the bus
 # meanwhile: at 0.1 ms a message a full batch takes about 25 ms.
-BATCH = 256
+MAX_BATCH_MESSAGES = 256
 
 
 class Inbox:
     """A queue of at most `capacity` messages, in order; only `put_nowait` may exceed the limit."""
 
-    def __init__(self, capacity: int = ROOM) -> None:
+    def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self._messages: deque[Message] = deque()
         self._capacity = capacity
         self._filled = anyio.Event()
@@ -30,7 +30,7 @@
         self.put_nowait(message)
 
     async def wait_for_space(self) -> None:
-        """Waits while the inbox is full: users of `put_nowait` wait here before they read on."""
+        """Waits while the inbox is full. Readers that use `put_nowait` call this before they read more."""
         while len(self._messages) >= self._capacity:
             await self._drained.wait()
 
@@ -46,12 +46,14 @@
         return len(self._messages)
 
     async def drain(self, wait: float) -> list[Message]:
-        """Removes and returns up to `BATCH` messages; waits for the first one for at most `wait` seconds."""
+        """Removes and returns up to `MAX_BATCH_MESSAGES` messages.
+
+        Waits for the first one for at most `wait` seconds."""
         if not self._messages and wait > 0:
             self._filled = anyio.Event()
             with anyio.move_on_after(None if wait == inf else wait):
                 await self._filled.wait()
-        messages = [self._messages.popleft() for _ in range(min(BATCH, len(self._messages)))]
+        messages = [self._messages.popleft() for _ in range(min(MAX_BATCH_MESSAGES, len(self._messages)))]
         self._drained.set()
         self._drained = anyio.Event()
         return messages
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -16,7 +16,7 @@
 class Caller(Protocol):
     """The origin of a call, which takes its answers. No method may block."""
 
-    gone: bool  # set as soon as it is read that the caller has left or given the set-up up
+    gone: bool  # the caller has left or given up its set-up; set as soon as that is read
 
     def stands(self, description: bytes) -> None:
         """The call stands; `description` is the server's answer, unchanged."""
@@ -45,8 +45,8 @@
     deadline: float  # when the caller gives up
     caller: Caller
     request: object
-    redial: bool = False
-    again: bool = False
+    redial: bool = False  # passed to the controller
+    again: bool = False  # the caller marked the set-up as a redial; not passed to the controller
     called: str = ""  # the number called, in the form of the numbering plan
     source: str = ""  # the caller's address, if known
 
@@ -58,18 +58,18 @@
     call: str
     number: int
     server: str
-    placed: float
+    placed: float  # when the controller decided on it
     deadline: float
     request: object
-    guard: Callable[[Attempt, float], bool] = field(repr=False)
+    send_check: Callable[[Attempt, float], bool] = field(repr=False)  # takes the attempt and the time
     sent: float | None = None  # when it was written to the connection
     checked_at: float = 0.0  # when the gate last allowed it, right before it was written
     ended: bool = False
-    revoked: bool = False
+    cancel_requested: bool = False  # a cancel was ordered; the server may still answer
 
     def may_send(self, now: float) -> bool:
-        """Checked right before writing: connecting or a full buffer may have taken time meanwhile."""
-        return self.guard(self, now)
+        """Whether it may still be sent; asked right before it is written, as connecting may take time."""
+        return self.send_check(self, now)
 
 
 class Servers(Protocol):
@@ -86,10 +86,10 @@
 
 
 class Gate(Protocol):
-    """Whether this instance may act on its state; checked right before it does."""
+    """Tells whether this instance may accept calls and send set-ups, as by a lease of the store."""
 
     def closed_for(self) -> float | None:
-        """None if open; else no call may start, and callers are told to try again after these seconds."""
+        """None if calls may start; else the seconds after which callers are told to try again."""
 
     def may_send(self, server: str) -> bool:
         """Whether a set-up may be sent to this server now."""
@@ -108,7 +108,7 @@
         """
 
     def ended(self, called: str, good: bool) -> None:
-        """Reports the final answer of a call that passed; `good`: it stands."""
+        """Reports the final answer of a call that passed; `good` is True if the call stands."""
 
 
 # Messages from the listeners
@@ -116,10 +116,10 @@
 
 @dataclass(slots=True)
 class CallerGone:
-    """A caller gives its set-up up, or releases a standing call.
+    """A caller gives up its set-up, or releases a standing call.
 
-    Only the `caller` that sent a set-up can give it up. A standing call belongs to no connection: any caller
-    may release it by its id.
+    A set-up can be given up only by the `caller` that sent it. A standing call belongs to no
+    connection: any caller may release it by its id.
     """
 
     call: str
@@ -134,10 +134,10 @@
     """A server has answered a set-up: the call stands there."""
 
     call: str
-    attempt: int  # -1: no open attempt
+    attempt: int  # number of the attempt; -1: none is open on the connection
     server: str
     description: bytes
-    lasting: bool = True  # False: the call is over with the answer (a lookup)
+    lasting: bool = True  # the call stands until its release; False: a look-up, which ends with its answer
 
 
 @dataclass(slots=True)
@@ -151,19 +151,19 @@
 
 @dataclass(slots=True)
 class CallOver:
-    """A standing call was released by its server."""
+    """A standing call was ended by its server."""
 
     call: str
     server: str
-    cut: bool
+    cut: bool  # not by a normal release
 
 
 @dataclass(slots=True)
 class ServerDied:
-    """Every call that stood at this server at `at` or before is cut."""
+    """A server has died: its calls that stood at `died_at` (seconds, Unix time) or before are cut."""
 
     server: str
-    at: float
+    died_at: float
 
 
 @dataclass(slots=True)
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -1,13 +1,14 @@
 """Overload control of one controller instance. Types, settings, events and actions: `harepick/interface.py`.
 
-`Controller` implements a published method: each instance estimates the occupancy p of every setup server from
-the waits that it observes, stops sending new calls to a server whose occupancy exceeds Pmax (throttle u = 0)
-and then admits calls to it at a limited gate rate r, kept between rmin and rmax.
+`Controller` implements a published method ("the paper" in the comments below): each instance estimates the
+occupancy p of every setup server from the waits that it observes, stops sending new calls to a server whose
+occupancy exceeds Pmax (throttle u = 0) and then admits calls to it at a limited gate rate r, kept between
+rmin and rmax.
 
 How a call is handled: `_on_call_arrived` records it; `_route` picks a server (the first choice while it is
 open, else the one that last accepted a call) or lets a call that was tried before pass a gate; `_send`
-checks the guards that hold for every attempt. `_run_interval` updates the occupancy, throttle and gate rate
-of every server once an interval.
+checks what applies to every attempt (`_may_use`). `_run_interval` updates the occupancy, throttle and
+gate rate of every server once an interval.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 from harepick import interface
 
 INTERVALS_PER_AIM = 4  # interval T is the shortest aim over this: control must act within that aim
-MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design level; the throttle u drops to 0 above it
+MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design initial_tokens; the throttle u drops to 0 above it
 TARGET_OCCUPANCY = 0.60  # Pterm in the paper: occupancy to which the gate rate steers a closed server
 CLOSING_WAIT_SHARE = 0.3  # a wait of this share of the shortest aim is an occupancy of Pmax
 # Wm, Wc, Wt and Nwait in the paper: the windows that decide on closing a server, on opening it again and on
@@ -30,7 +31,8 @@
 # longer: with fewer sends, chance would look like a peak.
 SEND_RATE_INTERVALS = 8
 SEND_RATE_SENDS = 8
-# The expected time of so many sends, if longer than Wt, is the recovery step of r and the life of tokens.
+# The time step of r, and the lifetime of tokens, is Wt or the expected time of this many sends, whichever is
+# longer.
 RATE_STEP_SENDS = 1
 PEAK_RATE_WINDOW_S = 60.0  # rmax is the highest send rate within this time
 # A class worth this multiple of the mean may pass the gate of a closed server on its first try.
@@ -38,23 +40,26 @@
 STARTUP_INTERVALS = 8  # after a start, the arrival rate is averaged over at least this many intervals
 # Averaging time of the arrival rate, longer than a surge; also the least time between a server's log lines.
 TRAFFIC_AVERAGE_S = 20.0
-# Below this a server has room for calls that no longer earn their full worth.
-LOW_OCCUPANCY = TARGET_OCCUPANCY / 2
-# Below this over Wt a server takes calls without tokens: none waits there.
+# Calls that can no longer stand within their aim are only sent to servers below this occupancy.
+LATE_MAX_OCCUPANCY = TARGET_OCCUPANCY / 2
+# Below this occupancy over Wt a server takes calls without tokens: calls hardly wait there.
 IDLE_OCCUPANCY = TARGET_OCCUPANCY / 4
 RECOVERED_RATE_SHARE = 0.97  # recovery ends when r has reached this share of rmax
-COLD_RAMP = 0.5  # share of a linear rise to full capacity: the real warm-up curve is unknown
-COLD_MARGIN = 0.7  # used share of the cold limit: other instances may see more than their share of traffic
-FORGET_GONE_AFTER_S = 60.0  # removed servers are dropped after this time: new ones keep coming under new ids
+# A cold server is assumed to gain capacity linearly, by this share of what it lacks at its start until it is
+# warm: the real warm-up curve is unknown.
+COLD_RAMP_SHARE = 0.5
+# Share of the cold limit that is used: other instances may see more than their share of the traffic.
+COLD_LIMIT_SHARE = 0.7
+FORGET_GONE_AFTER_S = 60.0  # until the state of a removed server is dropped; new servers get new ids
 ACTIVITY_GAP_SAMPLES = 16  # samples over which the time between two signs of activity is averaged
-SILENCE_GAPS = 5  # silence is this many mean gaps without activity: chance alone gives it once in e^5
+SILENCE_GAPS = 5  # silence is this many mean gaps without activity; its probability by chance is e^-5
 # Attempts over which fault and error shares are averaged: one fault never closes a server.
 FAULT_SHARE_ATTEMPTS = 4
 # Share of faulty attempts, above the mean of the others, that is an occupancy of Pmax.
 CLOSING_FAULT_SHARE = 0.6
 FAULT_DECAY_INTERVALS = 16  # decay of the fault share of a closed server
 FAULT_OUTCOMES = (interface.Outcome.RESET, interface.Outcome.UNREACHED)
-# Share of set-ups answered with an error from which other servers with room are preferred.
+# Share of set-ups answered with an error from which other servers are preferred.
 HIGH_ERROR_SHARE = 0.5
 INTERVAL_TOKEN = 0  # timer token of the interval
 HOLD_TOKEN = 1  # timer token of calls held until their release guard is over
@@ -64,15 +69,15 @@
 class TokenBucket:
     """A token bucket whose unused tokens expire, so that instances do not spend saved ones at once.
 
-    A token expires once `keep` more have been added, be `keep` above or below one."""
+    A token expires once `lifetime_tokens` more have been added; this number may be a fraction below one."""
 
-    def __init__(self, level: float) -> None:
-        self.added = level  # its fraction is drawn from the seed, so that instances do not send in step
+    def __init__(self, initial_tokens: float) -> None:
+        self.added = initial_tokens  # a random fraction, so that instances do not send at the same time
         self.taken = 0
 
-    def add(self, amount: float, keep: float) -> None:
+    def add(self, amount: float, lifetime_tokens: float) -> None:
         self.added += amount
-        self.taken = max(self.taken, int(self.added - keep))
+        self.taken = max(self.taken, int(self.added - lifetime_tokens))
 
     def has_token(self) -> bool:
         return self.added - self.taken >= 1.0
@@ -84,9 +89,9 @@
 class Server:
     """The state of one setup server as this instance observes it."""
 
-    def __init__(self, entry: interface.ServerEntry, now: float, level: float) -> None:
+    def __init__(self, entry: interface.ServerEntry, now: float, initial_tokens: float) -> None:
         self.id = entry.server
-        self.leaving_since: float | None = None  # since when it is listed as draining or gone
+        self.leaving_since: float | None = None  # when it was first listed as draining or gone; None: ready
         self.free_lines = float("inf")  # free lines as last reported, less those used since
         self.open_attempts: dict[tuple[str, int], float] = {}  # (call, attempt) -> time sent, oldest first
         self.warm_at = 0.0
@@ -95,21 +100,23 @@
         self.send_rate = 0.0  # calls that stand a second
         self.stands_in_interval = 0
         self.update(entry, now)
-        self.reset_estimates(now, level)
+        self.reset_estimates(now, initial_tokens)
 
     def update(self, entry: interface.ServerEntry, now: float) -> None:
+        # `number` is the destination number that the server serves; several servers may share one.
         self.number, self.size, self.started = entry.number, max(entry.size, EPSILON_S), entry.started
-        # When its successor is warm: this server will soon stop and cut its calls.
-        self.replaced_at = float("inf")
+        # When the first successor (a later server of the same number) is warm; infinity without one. This
+        # server will soon stop then and cut its calls.
+        self.successor_warm_at = float("inf")
         self.gone = entry.state == "gone"
         if entry.state == "ready":
             self.leaving_since = None
         elif self.leaving_since is None:
             self.leaving_since = now
 
-    def reset_estimates(self, now: float, level: float) -> None:
+    def reset_estimates(self, now: float, initial_tokens: float) -> None:
         """Resets every estimate: a restarted server has a new state."""
-        self.cold_gate = TokenBucket(level)
+        self.cold_gate = TokenBucket(initial_tokens)
         self.cold_filled_at = now
         self.throttle = 1  # u in the paper: 1 open, 0 closed
         self.closed_intervals = 0  # intervals since it was closed
@@ -121,7 +128,7 @@
         self.wait_counts: deque[int] = deque(maxlen=RATE_STEP_INTERVALS)  # waits observed in each interval
         self.max_gate_rate = 0.0  # rmax in the paper, calls a second
         self.gate_rate = 0.0  # r in the paper, calls a second
-        self.gate = TokenBucket(level + 1.0)  # an instance without history may try each server once
+        self.gate = TokenBucket(initial_tokens + 1.0)  # an instance without history may try each server once
         self.recovering = False  # open again, but new calls still need tokens
         self.state_before_close = (0.0, False)  # gate rate and `recovering` when it was closed
         self.closed_at = self.short_wait_at = self.latest_wait = 0.0
@@ -129,21 +136,21 @@
         self.active_at = now
         self.activity_gap = 1.0  # mean seconds between two signs of activity
         self.fault_share = 0.0  # share of recent attempts that ended in a fault
-        self.error_share = 0.0  # share answered with an error: no sign of load, so it closes nothing
-        # Send time of the latest answered set-up: older open ones say nothing of its load.
+        self.error_share = 0.0  # share of recent attempts answered with an error; does not close the server
+        # Send time of the latest answered set-up; the age of older open ones does not measure the load.
         self.answered_sent_at = 0.0
 
     def record_activity(self, now: float) -> None:
-        """Notes a sign of life: any message from the server, also the end of a call."""
+        """Records activity: any message from the server, including the end of a call."""
         self.activity_gap += (now - self.active_at - self.activity_gap) / ACTIVITY_GAP_SAMPLES
         self.active_at = now
 
-    def record_wait(self, now: float, wait: float, long_wait: float) -> None:
-        """Adds a wait in seconds; one above `long_wait` counts as proof of load."""
+    def record_wait(self, now: float, wait: float, long_wait_limit: float) -> None:
+        """Adds a wait in seconds; `long_wait_at` records the last one above `long_wait_limit` seconds."""
         self.record_activity(now)
         self.latest_wait = wait
         self.interval_waits[0] += wait
-        if wait > long_wait:
+        if wait > long_wait_limit:
             self.long_wait_at = now
         else:
             self.short_wait_at = now
@@ -177,10 +184,17 @@
             "in_transit",
             "deadline",
             "tries",
-            "attempt_at",
+            "attempt_server",
             "last_server",
         ),
-        *("not_before", "cancelled_attempt", "may_have_run_at", "stands", "last_erred", "attempt_limit"),
+        *(
+            "not_before",
+            "cancelled_attempt",
+            "possible_effect_server",
+            "stands",
+            "last_erred",
+            "attempt_limit",
+        ),
     )
 
     def __init__(
@@ -196,11 +210,11 @@
         self.in_transit = event.in_transit
         self.deadline = event.deadline
         self.tries = 0
-        self.attempt_at: Server | None = None  # where an attempt is open
+        self.attempt_server: Server | None = None  # server of the open attempt
         self.last_server: Server | None = None  # server of the latest attempt
         self.cancelled_attempt = -1  # number of the attempt that was cancelled
         self.not_before = 0.0  # no attempt before this time (release guard)
-        self.may_have_run_at: Server | None = None  # server at which an earlier attempt may have taken effect
+        self.possible_effect_server: Server | None = None  # where an earlier attempt may have taken effect
         self.stands = False
         self.last_erred = False  # the latest attempt was answered with an error
 
@@ -225,13 +239,13 @@
         self.held: dict[str, Call] = {}
         self.sticky_server: str | None = None
         self.min_setup_time = float("inf")  # transport and processing without a wait
-        self.fault_totals = (0.0, 0)  # sum of the fault shares, and number of servers
+        self.fault_share_totals = (0.0, 0)  # sum of the fault shares, and number of servers
         self.arrival_rate = 0.0  # first tries a second that arrive here
         self.interval_arrivals = 0  # first tries in this interval
         self.actions: list[interface.Action] = []
 
     def start(self) -> list[interface.Action]:
-        """Returns the first actions; the random phase of the interval keeps instances from acting in step."""
+        """Returns the first actions; the random phase of the interval keeps instances out of step."""
         first_actions: list[interface.Action] = [
             interface.WakeAfter(self.interval * (0.1 + 0.9 * self.rng.random()), INTERVAL_TOKEN)
         ]
@@ -296,15 +310,15 @@
         listed = {}
         for entry in event.entries:
             listed[entry.server] = entry
-            known = self.servers.get(entry.server)
-            if known is None:
-                known = self.servers[entry.server] = Server(entry, self.now, self.rng.random())
+            server_state = self.servers.get(entry.server)
+            if server_state is None:
+                server_state = self.servers[entry.server] = Server(entry, self.now, self.rng.random())
             else:
-                if entry.started > known.started:
-                    known.reset_estimates(self.now, self.rng.random())
-                known.update(entry, self.now)
+                if entry.started > server_state.started:
+                    server_state.reset_estimates(self.now, self.rng.random())
+                server_state.update(entry, self.now)
             if entry.started > 0:
-                known.warm_at = entry.started + self.settings.warm_after
+                server_state.warm_at = entry.started + self.settings.warm_after
         for server in self.servers.values():
             successors = [
                 other
@@ -312,7 +326,7 @@
                 if other.number == server.number and other.leaving_since is None
             ]
             warm_times = (other.warm_at for other in successors if other.started > server.started)
-            server.replaced_at = min(warm_times, default=float("inf"))
+            server.successor_warm_at = min(warm_times, default=float("inf"))
         if event.kind is not interface.ListKind.CHANGES:
             for name, server in self.servers.items():
                 if name not in listed:
@@ -343,7 +357,7 @@
             self.min_setup_time = min(self.min_setup_time, event.elapsed)
             server.record_wait(self.now, event.elapsed - self.min_setup_time, self.closing_wait)
         call = self.calls.get(event.call)
-        if call and call.attempt_at is server:
+        if call and call.attempt_server is server:
             call.stands = True
             self.sticky_server = event.server
 
@@ -378,14 +392,14 @@
             self.sticky_server = None
         if call is None or call.tries - 1 != event.attempt:
             return
-        call.attempt_at = None
+        call.attempt_server = None
         if event.final or call.stands:
             del self.calls[call.id]
             return
         if outcome in (interface.Outcome.TIMEOUT, interface.Outcome.RESET, interface.Outcome.CANCELLED):
             call.not_before = self.now + self.settings.release_guard + EPSILON_S
         if outcome not in (interface.Outcome.FULL, interface.Outcome.UNREACHED, interface.Outcome.MOOT):
-            call.may_have_run_at = server
+            call.possible_effect_server = server
         call.last_erred = outcome is interface.Outcome.ERROR
         if lines_busy:
             self._refuse_or_fail(call)
@@ -395,7 +409,7 @@
     def _on_caller_left(self, name: str) -> None:
         call = self.calls.pop(name, None)
         self.held.pop(name, None)
-        if call and call.attempt_at and not call.stands and self.settings.may_cancel:
+        if call and call.attempt_server and not call.stands and self.settings.may_cancel:
             self.actions.append(interface.Cancel(name, call.tries - 1))
 
     # Occupancy, throttle and token gate
@@ -403,7 +417,8 @@
     def _occupancy(self, server: Server, window: int) -> float:
         """Occupancy, p in the paper: from the waits, the age of the oldest open set-up, and faults."""
         wait = server.mean_wait(window)
-        # A set-up older than every aim, at a server active since, is lost: it says nothing of the queue.
+        # Ignores set-ups older than the shortest aim if the server was active at least `closing_wait` after
+        # they were sent: they are lost, and their age does not measure the queue.
         lost_before = self.now - self.shortest_aim
         active_since = server.active_at - self.closing_wait
         oldest = next(
@@ -418,13 +433,14 @@
             wait = max(
                 wait, self.now - oldest - (self.min_setup_time if self.min_setup_time < float("inf") else 0.0)
             )
-        # Faults that most servers show are not held against this one.
-        fault_total, servers = self.fault_totals
+        # Only the excess over the mean of the other servers counts: faults common to all servers have another
+        # cause.
+        fault_total, servers = self.fault_share_totals
         excess_faults = server.fault_share - max(0.0, fault_total - server.fault_share) / max(1, servers - 1)
         return MAX_OCCUPANCY * max(wait / self.closing_wait, excess_faults / CLOSING_FAULT_SHARE)
 
     def _run_interval(self) -> None:
-        """Runs once an interval: updates the arrival rate, drops removed servers, adjusts all others."""
+        """Runs once an interval: updates the arrival rate, drops removed servers, adjusts throttles."""
         self.actions.append(interface.WakeAfter(self.interval, INTERVAL_TOKEN))
         weight = self.interval / min(
             max(self.now - self.started_at, STARTUP_INTERVALS * self.interval), TRAFFIC_AVERAGE_S
@@ -435,7 +451,7 @@
             if self.now - (self.servers[name].leaving_since or self.now) > FORGET_GONE_AFTER_S:
                 del self.servers[name]
         fault_shares = [other.fault_share for other in self.servers.values() if other.leaving_since is None]
-        self.fault_totals = sum(fault_shares), len(fault_shares)
+        self.fault_share_totals = sum(fault_shares), len(fault_shares)
         for server in self.servers.values():
             self._adjust_throttle(server)
         if self.settings.may_cancel:
@@ -443,10 +459,11 @@
                 self._cancel_unanswered(server)
 
     def _cancel_unanswered(self, server: Server) -> None:
-        """Cancels set-ups that will not be answered while another server can still take the call in time.
+        """Cancels set-ups that will not be answered while another server can still take the call in time:
 
-        These are all set-ups at a closed server that has been silent since they were sent (a hang or a dead
-        connection; a slow server still answers others), and lost ones, overtaken by later answers."""
+        - silent ones: the server is closed and has shown no activity since they were sent, because it hangs
+          or its connection is dead (a slow server still answers others);
+        - lost ones, by `_is_lost`."""
         if not any(
             other.throttle and other is not server and other.leaving_since is None
             for other in self.servers.values()
@@ -469,8 +486,8 @@
     def _is_lost(self, server: Server, sent: float) -> bool:
         """Whether an open set-up is lost.
 
-        Servers answer in order: it is if it was sent well before the latest answered one, or is older than
-        every aim while the server reports short waits."""
+        Servers answer in order. A set-up is lost if it was sent over an interval before the latest answered
+        one, or if the server has shown a short wait more than the shortest aim after it was sent."""
         return (
             sent + self.interval < server.answered_sent_at or sent + self.shortest_aim < server.short_wait_at
         )
@@ -578,19 +595,20 @@
                 return self._hold(call, call.not_before - self.now)
             return self._refuse_or_fail(call)
         past_aim = self.now + self.closing_wait > call.first_try + call.call_class.aim
-        if past_aim:  # it can no longer earn its full worth, and yields to others wherever there is load
+        if past_aim:  # an answer would come after the aim: only servers with a low occupancy are used
             usable = [
                 other
                 for other in usable
-                if not other.recovering and self._occupancy(other, MONITOR_INTERVALS) < LOW_OCCUPANCY
+                if not other.recovering and self._occupancy(other, MONITOR_INTERVALS) < LATE_MAX_OCCUPANCY
             ]
-        repeatable = usable
+        including_last_server = usable
         usable = [
             other for other in usable if other is not call.last_server
-        ] or usable  # another after a failed attempt
+        ] or usable  # after a failed attempt, another server if there is one
         healthy = [other for other in usable if other.error_share < HIGH_ERROR_SHARE]
-        # An error costs little and does not predict the next answer: repeating there is better than failing.
-        for servers in (healthy, usable, repeatable if call.last_erred else []):
+        # The last list allows a repeat at the server that answered with an error: its next answer may be
+        # another one, and a repeat costs the server little.
+        for servers in (healthy, usable, including_last_server if call.last_erred else []):
             if server := self._choose_open_server(call, servers):
                 return self._send(call, server)
         first = next((other for other in usable if other.number == call.destination), None)
@@ -614,14 +632,14 @@
         """The first choice while it is open, else one with a token: the sticky server or a random one."""
         for first in sorted(
             (other for other in servers if other.number == call.destination),
-            key=lambda other: self.now >= other.replaced_at,
+            key=lambda other: self.now >= other.successor_warm_at,
         ):
             if first.throttle and (not first.recovering or first.gate.has_token() or self._is_idle(first)):
                 return first
         # Diverted calls need tokens, so that they do not overload the next server.
         others = [other for other in servers if other.throttle and other.gate.has_token()]
         others = others or [other for other in servers if self._is_idle(other)]
-        others = [other for other in others if self.now < other.replaced_at] or others
+        others = [other for other in others if self.now < other.successor_warm_at] or others
         if others:
             server = next(
                 (other for other in others if other.id == self.sticky_server), None
@@ -631,14 +649,14 @@
         return None
 
     def _is_idle(self, server: Server) -> bool:
-        """Whether it has room beyond its tokens: almost no wait in enough samples, and few open set-ups."""
-        max_open = max(1.0, self._fair_rate(server) * self.closing_wait)
+        """Whether it can take calls without tokens: almost no wait in enough samples, few open set-ups."""
+        max_open_set_ups = max(1.0, self._fair_rate(server) * self.closing_wait)
         has_samples = sum(server.wait_counts) >= RATE_STEP_INTERVALS
         return (
             has_samples
             and bool(server.throttle)
             and self._occupancy(server, RATE_STEP_INTERVALS) < IDLE_OCCUPANCY
-            and len(server.open_attempts) <= max_open
+            and len(server.open_attempts) <= max_open_set_ups
         )
 
     def _hold(self, call: Call, delay: float) -> None:
@@ -656,13 +674,13 @@
         if self.calls.pop(call.id, None) is None:
             return
         self.held.pop(call.id, None)
-        if call.may_have_run_at:
+        if call.possible_effect_server:
             self.actions.append(interface.Fail(call.id))
         else:
             advice = min(self.settings.max_advice, self.interval) if self.settings.may_advise else 0.0
             self.actions.append(interface.Refuse(call.id, advice))
 
-    # Guards: every attempt passes them
+    # Checks that apply to every attempt
 
     def _may_use(self, call: Call, server: Server) -> bool:
         """Whether an attempt of the call at the server is allowed now."""
@@ -676,22 +694,22 @@
             return False
         if call.in_transit and server.number != call.destination:
             return False
-        if call.may_have_run_at and call.call_class.effect != "free" and (
-            call.call_class.effect == "single_shot" or server is not call.may_have_run_at
+        if call.possible_effect_server and call.call_class.effect != "free" and (
+            call.call_class.effect == "single_shot" or server is not call.possible_effect_server
             or self.now > call.first_try + call.call_class.dedup_window
         ):  # fmt: skip
             return False
         return self.now >= server.warm_at or self._has_cold_token(server)
 
     def _has_cold_token(self, server: Server) -> bool:
-        """Whether a cold server has a token: this instance's share of its present capacity, spread evenly.
+        """Whether a cold server has a token; tokens are this instance's share of its present capacity.
 
-        In any window of `tip_after` all instances together send the tokens added within it and those that had
-        not expired before it; the margin covers both, whatever their number."""
+        Within `tip_after` seconds the fleet sends at most the tokens added in that time and those left
+        unexpired from before. COLD_LIMIT_SHARE keeps the sum within the limit for any number of instances."""
         progress = min(1.0, max(0.0, self.now - server.started) / self.settings.warm_after)
-        capacity = self.settings.cold_share + (1.0 - self.settings.cold_share) * COLD_RAMP * progress
-        rate = self._fair_rate(server) * capacity * self.settings.tip_multiple * COLD_MARGIN
-        unexpired_time = (1.0 - COLD_MARGIN) * self.settings.tip_after
+        capacity = self.settings.cold_share + (1.0 - self.settings.cold_share) * COLD_RAMP_SHARE * progress
+        rate = self._fair_rate(server) * capacity * self.settings.tip_multiple * COLD_LIMIT_SHARE
+        unexpired_time = (1.0 - COLD_LIMIT_SHARE) * self.settings.tip_after
         server.cold_gate.add(rate * (self.now - server.cold_filled_at), rate * unexpired_time)
         server.cold_filled_at = self.now
         return server.cold_gate.has_token()
@@ -702,14 +720,14 @@
         return self.arrival_rate * server.size / max(size, server.size)
 
     def _send(self, call: Call, server: Server) -> None:
-        """Starts an attempt; one that breaks a guard ends this call, not the instance."""
-        if call.attempt_at or self.now < call.not_before or not self._may_use(call, server):
+        """Starts an attempt. One that is not allowed is logged and ends the call without an exception."""
+        if call.attempt_server or self.now < call.not_before or not self._may_use(call, server):
             self.actions.append(interface.Log(f"guard: attempt of {call.id} at {server.id} not allowed"))
-            return None if call.attempt_at else self._refuse_or_fail(call)
+            return None if call.attempt_server else self._refuse_or_fail(call)
         if self.now < server.warm_at:
             server.cold_gate.take()
         server.gate.take()
-        call.attempt_at = call.last_server = server
+        call.attempt_server = call.last_server = server
         server.open_attempts[(call.id, call.tries)] = self.now
         server.free_lines -= 1.0
         call.tries += 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 import pytest
 
 from harepick import interface as i
-from harepick.core.inbox import BATCH, ROOM, Inbox
+from harepick.core.inbox import DEFAULT_CAPACITY, MAX_BATCH_MESSAGES, Inbox
 from harepick.core.messages import Attempt, AttemptOver, CallerGone, Message, Offer
 from harepick.counters import Counters
 from harepick.log import Log
@@ -641,7 +641,7 @@
         port = await tasks.start(callers_server.run)
         sock, _ = await opened(callers_server, port)
         (offer,) = await callers_server.messages(Offer)
-        while len(callers_server.inbox) < ROOM:
+        while len(callers_server.inbox) < DEFAULT_CAPACITY:
             callers_server.inbox.put_nowait(CallerGone("another"))
         sock.close()
         await wait_for(lambda: offer.caller.gone)
@@ -658,7 +658,7 @@
         pool, first = await pool_with_open_set_up(owner, tasks)
         pool._connections[0].open_attempts.clear()  # answered: the connection is free
         late = attempt("0" * 15 + "2")
-        late.guard = lambda attempt, now: not offer.caller.gone
+        late.send_check = lambda attempt, now: not offer.caller.gone
         late.placed = time.time() - 0.1
         sock.close()
         pool.place(late)  # in the same turn
@@ -672,12 +672,12 @@
     """Processing all of it at once blocked the loop for most of a second, and nothing that callers sent
     meanwhile was read."""
     inbox = Inbox()
-    for n in range(2 * BATCH + 3):
+    for n in range(2 * MAX_BATCH_MESSAGES + 3):
         inbox.put_nowait(CallerGone(str(n)))
     heard = [await inbox.drain(0) for _ in range(4)]
-    assert [len(batch) for batch in heard] == [BATCH, BATCH, 3, 0]
+    assert [len(batch) for batch in heard] == [MAX_BATCH_MESSAGES, MAX_BATCH_MESSAGES, 3, 0]
     assert [w.call for batch in heard for w in batch if isinstance(w, CallerGone)] == [
-        str(n) for n in range(2 * BATCH + 3)
+        str(n) for n in range(2 * MAX_BATCH_MESSAGES + 3)
     ]
 
 
@@ -704,7 +704,7 @@
 
 def attempt(call: str = "0" * 15 + "1") -> Attempt:
     request = Request(b"a", b"77", b"offer")
-    return Attempt(call, 0, "s0", 0.0, 2e9, request, lambda attempt, now: not attempt.revoked)
+    return Attempt(call, 0, "s0", 0.0, 2e9, request, lambda attempt, now: not attempt.cancel_requested)
 
 
 async def test_release_in_flight_when_its_server_connection_ends_goes_out_on_the_next() -> None:
@@ -760,7 +760,7 @@
     async with anyio.create_task_group() as tasks:
         pool, placed = await pool_with_open_set_up(owner, tasks)
         await loop_turns(5)
-        placed.revoked = True
+        placed.cancel_requested = True
         assert pool.cancel(placed)
         pool._connections[0].scope.cancel()
         await wait_for(lambda: not pool._connections)
@@ -778,7 +778,7 @@
         (connection,) = pool._connections
         while connection.outbox.put(b""):
             pass
-        placed.revoked = True
+        placed.cancel_requested = True
         assert pool.cancel(placed)
         await wait_for(lambda: not pool._connections)
         over = [w for w in await owner.inbox.drain(0) if isinstance(w, AttemptOver)]
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -279,7 +279,7 @@
 @pytest.mark.parametrize("rule", ["gone", "unavailable server", "one final answer", "late answer"])
 def test_a_core_that_breaks_a_rule_is_found(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def may_send(self: Engine, attempt: Attempt, now: float) -> bool:
-        if attempt.ended or attempt.revoked or now >= attempt.deadline:
+        if attempt.ended or attempt.cancel_requested or now >= attempt.deadline:
             return False
         return rule == "unavailable server" or attempt.server in self._ready_servers
 
