--- a/harepick/__main__.py
+++ b/harepick/__main__.py
@@ -7,7 +7,7 @@
 
 import signal
 
-# SIGHUPs that came before there was a handler: the default action would end the program.
+# SIGHUPs received before `serve` handles them: the default action would end the program.
 EARLY_SIGHUPS: list[int] = []
 if __name__ == "__main__":
     signal.signal(signal.SIGHUP, lambda number, _: EARLY_SIGHUPS.append(number))
@@ -106,7 +106,7 @@
 
 
 def main() -> int:
-    """Entry point of the command `run` in deploy/balancer.toml."""
+    """Runs the program and returns its exit code; the command `run` in deploy/balancer.toml starts it."""
     counters = Counters()
     try:
         fronts, log = create_fronts(sys.argv[1:], counters)
@@ -120,8 +120,9 @@
         if settings_errors is None or rest is not None:
             log.event("crashed", error=repr(group))
             raise
-        for each in _leaf_errors(settings_errors):  # found only at the start, an address in use for example
-            print(f"harepick: {each}", file=sys.stderr)
+        # Found only when the fronts start: for example, an address that is in use.
+        for settings_error in _leaf_errors(settings_errors):
+            print(f"harepick: {settings_error}", file=sys.stderr)
         return 2
     except BaseException as error:
         log.event("crashed", error=repr(error))
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -86,7 +86,9 @@
 
 
 class Gate(Protocol):
-    """Tells whether this instance may accept calls and send set-ups, as by a lease of the store."""
+    """Tells whether this instance may accept calls and send set-ups, as by a lease of the store.
+
+    Checked right before each of them."""
 
     def closed_for(self) -> float | None:
         """None if calls may start; else the seconds after which callers are told to try again."""
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -20,7 +20,7 @@
 from harepick import interface
 
 INTERVALS_PER_AIM = 4  # interval T is the shortest aim over this: control must act within that aim
-MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design initial_tokens; the throttle u drops to 0 above it
+MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design level; the throttle u drops to 0 above it
 TARGET_OCCUPANCY = 0.60  # Pterm in the paper: occupancy to which the gate rate steers a closed server
 CLOSING_WAIT_SHARE = 0.3  # a wait of this share of the shortest aim is an occupancy of Pmax
 # Wm, Wc, Wt and Nwait in the paper: the windows that decide on closing a server, on opening it again and on
@@ -146,7 +146,7 @@
         self.active_at = now
 
     def record_wait(self, now: float, wait: float, long_wait_limit: float) -> None:
-        """Adds a wait in seconds; `long_wait_at` records the last one above `long_wait_limit` seconds."""
+        """Adds a wait in seconds; one above `long_wait_limit` seconds sets `long_wait_at`."""
         self.record_activity(now)
         self.latest_wait = wait
         self.interval_waits[0] += wait
@@ -606,8 +606,8 @@
             other for other in usable if other is not call.last_server
         ] or usable  # after a failed attempt, another server if there is one
         healthy = [other for other in usable if other.error_share < HIGH_ERROR_SHARE]
-        # The last list allows a repeat at the server that answered with an error: its next answer may be
-        # another one, and a repeat costs the server little.
+        # The last list allows a repeat at the server that answered with an error: an error does not predict
+        # the next answer, and costs the server little.
         for servers in (healthy, usable, including_last_server if call.last_erred else []):
             if server := self._choose_open_server(call, servers):
                 return self._send(call, server)
--- a/harepick/interface.py
+++ b/harepick/interface.py
@@ -80,7 +80,7 @@
     over_share_worth: float = 1.0
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
+    may_tell: bool = False  # the host supports `Tell`
     may_advise: bool = False  # callers can be told when to try again
     max_advice: float = 0.0  # longest such advice, in seconds
     marks_redials: bool = False  # `CallArrived.redial` is filled in
@@ -88,7 +88,7 @@
     must_ask: bool = False  # the server list is sent to subscribers only
     ask_within: float = 10.0
     report_fields: tuple[str, ...] = ()  # names of the values in a server's report
-    zone: str = ""
+    zone: str = ""  # where the instance is
 
 
 @dataclass(frozen=True, slots=True)
--- a/harepick/net/bus.py
+++ b/harepick/net/bus.py
@@ -1,7 +1,8 @@
 """Client of the event bus: follows the list of setup servers, and reconnects from the last event received.
 
-The bus sends its last event number every second. A watch may be open and send that line, and still bring
-no events; a number that stays ahead of the last event applied shows this (`LagMonitor`)."""
+Events are numbered; a number is an offset. Each connection is a watch: the bus sends the events after a given
+offset, and every second a line with the offset of its last event. If that stays above the offset of the last
+event applied, the watch withholds events and is replaced (`LagMonitor`)."""
 
 from __future__ import annotations
 
@@ -21,46 +22,46 @@
 from harepick.net.servers import Servers
 from harepick.settings import Address
 
-# The bus sends a line every second. The platform holds an instance to an event 4 s after its watch fell
-# silent, and 2 s after the connection broke: a line may be late, but two reconnect delays and a connection
-# attempt must fit into those 2 s.
+# The bus sends a line every second. The platform requires an instance to act on an event within 4 s after
+# its watch fell silent, and within 2 s after the connection broke: a line may be late, but two reconnect
+# delays and a connection attempt must fit into those 2 s.
 SILENCE_TIMEOUT_S = 1.75
-# Subtracted at random, so that a fleet whose watches fall silent at once reconnects spread out.
+# Up to this is subtracted at random, so that the instances of a fleet do not all reconnect at once.
 SILENCE_JITTER_S = 0.25
 MAX_LINE_BYTES = 1 << 20
 CONNECT_TIMEOUT_S = 0.5
 MIN_RECONNECT_DELAY_S, MAX_RECONNECT_DELAY_S = 0.02, 0.2
-# The platform holds an instance to a withheld event 4 s after the watch stopped bringing events. The line
-# with the number comes within a second of that and the next watch needs a connection: a tolerance of 0.5 to
-# 1.5 s fits between, at random so that a fleet that notices at once reconnects spread out.
+# The platform requires an instance to act on a withheld event within 4 s after the watch stopped sending
+# events. The line with the offset arrives within a second, and a new watch needs a connection: this leaves a
+# tolerance of 0.5 to 1.5 s, which is random so that the instances of a fleet do not all reconnect at once.
 LAG_TOLERANCE_S = 0.5
 LAG_JITTER_S = 1.0
-MAX_LAG_TOLERANCE_S = 8.0  # doubled up to this while new watches bring nothing: the bus itself is behind
+MAX_LAG_TOLERANCE_S = 8.0  # doubled up to this while new watches send no events: the bus itself is behind
 
 
 class LagMonitor:
     """Tells when a watch that withholds events is to be replaced by a new one.
 
-    Compares the bus's last event number with the last one applied. Does no I/O."""
+    Compares the offset of the bus's last event with that of the last one applied. Does no I/O."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._failed_watches = 0
-        self._awaited_number = 0  # the last number reported by the bus ahead of what was applied
+        self._awaited_offset = 0  # reported by the bus, above that of the last event applied
         self.reconnect_at: float | None = None  # monotonic time at which a new watch is to begin
 
-    def bus_reported(self, number: int, applied: int, now: float) -> None:
-        """Takes the last number of the bus, and the number of the last event applied."""
-        if number <= applied:
+    def bus_reported(self, offset: int, applied: int, now: float) -> None:
+        """Handles the offset of the bus's last event; `applied` is that of the last event applied."""
+        if offset <= applied:
             self._failed_watches, self.reconnect_at = 0, None
         elif self.reconnect_at is None:
-            self._awaited_number = number
+            self._awaited_offset = offset
             tolerance = min(LAG_TOLERANCE_S * 2.0**self._failed_watches, MAX_LAG_TOLERANCE_S)
             self.reconnect_at = now + tolerance + LAG_JITTER_S * self._rng.random()
 
-    def event_applied(self, number: int) -> None:
-        """Ends the wait if this event is the awaited one: the watch does bring events."""
-        if self.reconnect_at is not None and number >= self._awaited_number:
+    def event_applied(self, offset: int) -> None:
+        """Ends the wait if the awaited event or a later one was applied."""
+        if self.reconnect_at is not None and offset >= self._awaited_offset:
             self._failed_watches, self.reconnect_at = 0, None
 
     def watch_started(self) -> None:
@@ -72,7 +73,7 @@
 
 
 class BusClient:
-    """Follows the event bus: applies its events to the directory and hands them to the servers' port and
+    """Follows the event bus: applies its events to the directory and passes them to the servers' port and
     the core."""
 
     def __init__(
@@ -150,10 +151,10 @@
                     line = await lines.receive_until(b"\n", MAX_LINE_BYTES)
                 event = orjson.loads(line)
                 received = True
-                if (number := reported_number(event)) is not None:
-                    self._lag.bus_reported(number, self._directory.offset, time.monotonic())
-                    if number < self._directory.offset:
-                        # The protocol does not provide for this: it is counted, and no event is undone.
+                if (offset := reported_offset(event)) is not None:
+                    self._lag.bus_reported(offset, self._directory.offset, time.monotonic())
+                    if offset < self._directory.offset:
+                        # The protocol does not define this: it is counted, and no event is undone.
                         self._counters.add("bus.lower_numbers")
                     continue
                 if self._directory.skips(event) and self._directory.offset > start_offset:
@@ -192,8 +193,8 @@
             self._inbox.put_nowait(ControllerEvent(change))
 
 
-def reported_number(event: object) -> int | None:
-    """Returns the event number in the line sent every second, or None for any other line."""
+def reported_offset(event: object) -> int | None:
+    """Returns the offset in the line sent every second, or None for any other line."""
     if isinstance(event, dict) and event.keys() == {"offset"}:
         event = event["offset"]
     return event if isinstance(event, int) and not isinstance(event, bool) else None
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -25,14 +25,15 @@
 from harepick.net.setups import InvalidSetUpError, SetUpParser
 from harepick.net.steering import detach_filter, steer_away
 
-CAUSE_NORMAL, CAUSE_RESET, CAUSE_CONGESTION, CAUSE_FAILURE = 16, 41, 42, 41  # Q.850 causes in releases
+# Q.850 causes in releases; 41, temporary failure, stands for a cut call and for a failed set-up.
+CAUSE_NORMAL, CAUSE_RESET, CAUSE_CONGESTION, CAUSE_FAILURE = 16, 41, 42, 41
 RETRY_CAUSES = (34, 42, 102)  # a release with one of these is a refusal: the caller may safely retry
 CAUSE_UNKNOWN_TYPE = 97  # Q.850: message type not implemented
 SEND_TIMEOUT_S = 5.0  # a caller that reads nothing for this long is disconnected
 MAX_PENDING_RELEASES = 4_096  # releases kept for the next connection
 MAX_INVALID_MESSAGES = 16  # per connection; a client that repeats them is disconnected
-HANDSHAKE_SETTLE_S = 0.05  # time for handshakes that began before new connections went to the successor
-MAX_ENTERING = 4  # accepted connections that are not yet counted against the limit
+HANDSHAKE_SETTLE_S = 0.05  # for handshakes begun before new connections went to the successor to complete
+MAX_UNCOUNTED_CONNECTIONS = 4  # accepted sockets that `ConnectionLimits` does not count yet
 MESSAGES_PER_TURN = 8  # handled before other tasks run: a flood must not block the event loop for 0.1 s
 
 
@@ -43,32 +44,32 @@
     callers: Callers
     connection: CallerConnection
     call: bytes
-    lane: str  # the call class, for the counters
+    lane: str  # name of the call class, for the counters
     gone: bool = False
 
     def stands(self, description: bytes) -> None:
         """Sends the answer: the call stands."""
-        item = CallerMessage(self.call, binary.encode_answer(self.call, description), "answer")
-        self.callers.write(self.connection, item, self.lane, "completed")
+        message = CallerMessage(self.call, binary.encode_answer(self.call, description), "answer")
+        self.callers.write(self.connection, message, self.lane, "completed")
 
     def refused(self, stay_away: float) -> None:
         """Sends a refusal, with the time after which to retry, in seconds, if positive."""
-        wait = round(stay_away * 1000) if stay_away > 0 else None
-        data = binary.encode_release(self.call, CAUSE_CONGESTION, wait)
-        self.callers.write(self.connection, CallerMessage(self.call, data, "final"), self.lane, "rejected")
+        retry_after_ms = round(stay_away * 1000) if stay_away > 0 else None
+        encoded = binary.encode_release(self.call, CAUSE_CONGESTION, retry_after_ms)
+        self.callers.write(self.connection, CallerMessage(self.call, encoded, "final"), self.lane, "rejected")
 
     def failed(self) -> None:
         """Sends the final answer that the call has failed."""
-        item = CallerMessage(self.call, binary.encode_release(self.call, CAUSE_FAILURE), "final")
-        self.callers.write(self.connection, item, self.lane, "failed")
+        message = CallerMessage(self.call, binary.encode_release(self.call, CAUSE_FAILURE), "final")
+        self.callers.write(self.connection, message, self.lane, "failed")
 
     def over(self, *, cut: bool) -> None:
         """Sends the release of a standing call."""
-        data = binary.encode_release(self.call, CAUSE_RESET if cut else CAUSE_NORMAL)
-        self.callers.release(self.connection, CallerMessage(self.call, data, "release"))
+        encoded = binary.encode_release(self.call, CAUSE_RESET if cut else CAUSE_NORMAL)
+        self.callers.release(self.connection, CallerMessage(self.call, encoded, "release"))
 
     def duplicate_id(self) -> None:
-        """Closes the connection: a release could not tell the two calls apart."""
+        """Closes the connection: a release names a call by its id, which both calls have."""
         if self.connection.open_set_ups.get(self.call) is self:
             del self.connection.open_set_ups[self.call]  # the close must not give up the other call
         self.connection.scope.cancel()
@@ -116,7 +117,7 @@
         self._log = log
         self._limits = ConnectionLimits(max_connections, counters)
         self._pending_releases: deque[CallerMessage] = deque(maxlen=MAX_PENDING_RELEASES)
-        self._entering = 0
+        self._uncounted_connections = 0
 
     def replace_classes(self, classes: tuple[interface.CallClass, ...]) -> None:
         """Uses the call classes of reloaded settings."""
@@ -149,9 +150,9 @@
                 while True:
                     await anyio.wait_readable(raw)
                     try:
-                        while self._entering < MAX_ENTERING:
+                        while self._uncounted_connections < MAX_UNCOUNTED_CONNECTIONS:
                             sock, _peer = raw.accept()
-                            self._entering += 1
+                            self._uncounted_connections += 1
                             tasks.start_soon(self._serve_accepted, sock)
                         await anyio.lowlevel.checkpoint()
                     except (BlockingIOError, ConnectionAbortedError):
@@ -162,7 +163,7 @@
                         self._limits.evict_one()
                         await anyio.sleep(0.02)
             for sock in _close_listener(raw):
-                self._entering += 1
+                self._uncounted_connections += 1
                 tasks.start_soon(self._serve_accepted, sock)
             self._log.event("not_listening", taken=self._counters["callers.connections"])
 
@@ -176,7 +177,7 @@
             sock.close()
             return
         finally:
-            self._entering -= 1
+            self._uncounted_connections -= 1
         await self.serve(stream)
 
     async def serve(self, stream: SocketStream) -> None:
@@ -203,16 +204,16 @@
             self._limits.remove(connection)
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
-            self._closed(connection)
-
-    def _closed(self, connection: CallerConnection) -> None:
-        """Gives up the open set-ups of a connection that has ended; releases not yet written go out on
-        another one."""
-        for item in connection.outbox.clear():
-            if item.kind == "answer" and item.caller:
-                connection.open_set_ups[item.call] = item.caller
-            elif item.kind == "release":
-                self.release(connection, item)
+            self._on_connection_ended(connection)
+
+    def _on_connection_ended(self, connection: CallerConnection) -> None:
+        """Gives up the open set-ups of a connection that has ended; sends releases not yet written on another
+        one."""
+        for message in connection.outbox.clear():
+            if message.kind == "answer" and message.caller:
+                connection.open_set_ups[message.call] = message.caller
+            elif message.kind == "release":
+                self.release(connection, message)
         connection.mark_callers_gone()
         for call, caller in connection.open_set_ups.items():
             self._inbox.put_nowait(CallerGone(call.hex(), caller))
@@ -222,11 +223,11 @@
         while True:
             try:
                 data = await connection.stream.receive()
-                now, count = time.time(), 0
+                now, message_count = time.time(), 0
                 for message in decoder.feed(data):
                     await self._handle_message(connection, message, now)
-                    count += 1
-                    if count % MESSAGES_PER_TURN == 0:
+                    message_count += 1
+                    if message_count % MESSAGES_PER_TURN == 0:
                         await anyio.lowlevel.checkpoint()
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
@@ -240,15 +241,15 @@
                 return
             if not decoder.pending:
                 connection.partial_since = None
-            elif count or connection.partial_since is None:
-                connection.partial_since = now
+            elif message_count or connection.partial_since is None:
+                connection.partial_since = now  # an incomplete message has begun in this read
 
     @staticmethod
     def _exceeds_invalid_limit(connection: CallerConnection) -> bool:
         """Whether the connection has sent too many invalid messages and is to be closed.
 
-        Not while a set-up is open on it: a class that a reload has dropped makes well-formed set-ups
-        invalid, and those beside them are still owed an answer."""
+        Not while a set-up is open on it: after a reload drops a class, well-formed set-ups of that class
+        count as invalid, and other set-ups on the connection must still be answered."""
         return connection.invalid_messages > MAX_INVALID_MESSAGES and not connection.open_set_ups
 
     async def _handle_message(
@@ -265,9 +266,8 @@
                 if caller := connection.open_set_ups.pop(message.call, None):
                     caller.gone = True
                 self._limits.call_ended(message.call)
-                if (
-                    caller
-                ):  # not awaited: the end of the connection would cancel the wait and lose the message
+                # Not awaited: the end of the connection would cancel the wait and lose the message.
+                if caller:
                     self._inbox.put_nowait(CallerGone(message.call.hex(), caller))
                 else:
                     await self._inbox.put(CallerGone(message.call.hex(), None))
@@ -297,9 +297,9 @@
         except InvalidSetUpError as error:
             self._counters.add("callers.bad_set_ups")
             connection.invalid_messages += 1
-            item = CallerMessage(message.call, binary.encode_release(message.call, error.cause), "final")
+            answer = CallerMessage(message.call, binary.encode_release(message.call, error.cause), "final")
             lane = self._set_up_parser.known_class(message.parameters.get(binary.CLASS, b""), now)
-            self.write(connection, item, lane, "rejected" if error.cause in RETRY_CAUSES else "failed")
+            self.write(connection, answer, lane, "rejected" if error.cause in RETRY_CAUSES else "failed")
             return
         caller = BinaryCaller(self, connection, message.call, set_up.request.class_name.decode())
         if message.call in connection.open_set_ups:
@@ -323,7 +323,7 @@
         )
 
     def _mark_as_caller(self, connection: CallerConnection) -> None:
-        """Notes that a caller's request came here; releases that wait for a connection go out on this one."""
+        """Marks the connection as a caller's and queues the releases that wait for one."""
         connection.is_caller = True
         while self._pending_releases:
             connection.outbox.put(self._pending_releases.popleft())
@@ -331,45 +331,45 @@
     # Messages to callers
 
     def write(
-        self, connection: CallerConnection, item: CallerMessage, lane: str | None = None, result: str = ""
+        self, connection: CallerConnection, message: CallerMessage, lane: str | None = None, result: str = ""
     ) -> None:
         """Queues a message on this connection, or drops it if that has ended; a full queue closes the
         connection.
 
-        A final answer is counted under its call class `lane` as `result`."""
-        if item.kind in ("answer", "final"):
-            item.caller = connection.open_set_ups.pop(item.call, None)
+        A final answer is counted under its call class `lane` as `result` (completed, rejected or failed)."""
+        if message.kind in ("answer", "final"):
+            message.caller = connection.open_set_ups.pop(message.call, None)
         if not connection.alive:
             self._counters.add("callers.unwritten")
-        elif not connection.outbox.put(item):
-            if item.caller:
-                connection.open_set_ups[item.call] = item.caller
+        elif not connection.outbox.put(message):
+            if message.caller:
+                connection.open_set_ups[message.call] = message.caller
             self._counters.add("callers.too_slow")
             connection.scope.cancel()
         else:
             if lane is not None:
                 self._counters.answered(lane, result)
-            if item.kind == "answer":
-                self._limits.call_stands(connection, item.call)
+            if message.kind == "answer":
+                self._limits.call_stands(connection, message.call)
 
-    def release(self, connection: CallerConnection, item: CallerMessage) -> None:
+    def release(self, connection: CallerConnection, message: CallerMessage) -> None:
         """Queues a release on this connection, on another, or until the next one opens."""
-        self._limits.call_ended(item.call)
+        self._limits.call_ended(message.call)
         target = connection if connection.alive else self._limits.release_target()
-        if target is None or not target.outbox.put(item):
-            self._pending_releases.append(item)
+        if target is None or not target.outbox.put(message):
+            self._pending_releases.append(message)
 
     async def _write(self, connection: CallerConnection) -> None:
         while True:
             await connection.outbox.wait()
-            items = connection.outbox.take()
+            messages = connection.outbox.take()
             try:
                 with anyio.fail_after(SEND_TIMEOUT_S):
-                    await connection.stream.send(b"".join(item.data for item in items))
+                    await connection.stream.send(b"".join(message.data for message in messages))
             except (TimeoutError, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 connection.scope.cancel()  # what was in flight may have reached the caller in part
                 return
             connection.outbox.written()
             connection.last_activity = time.time()
-            for item in items:
-                self._counters.add(f"callers.sent_{item.kind}")
+            for message in messages:
+                self._counters.add(f"callers.sent_{message.kind}")
--- a/harepick/net/connection_limits.py
+++ b/harepick/net/connection_limits.py
@@ -117,8 +117,8 @@
             connection.standing_calls.discard(call)
 
     def release_target(self) -> CallerConnection | None:
-        """Returns the connection for the release of a call whose own one has closed; None without one that
-        has proved to be a caller's."""
+        """Returns the connection for the release of a call whose own connection has closed; None if no
+        connection has sent a valid set-up or a release."""
         callers = [c for c in self.connections if c.is_caller]
         return max(callers, key=lambda c: (c.had_standing_call, c.last_activity), default=None)
 
--- a/harepick/net/connection_pool.py
+++ b/harepick/net/connection_pool.py
@@ -1,8 +1,8 @@
 """The connections to one setup server, and the calls that stand there.
 
-Owns the choice of a connection for every order, and the evidence that a server has died. A set-up goes out
-on a connection with nothing else open where there is one: a connection with a malformed or missing answer
-is closed, and all that is open on it is lost. A standing call belongs to no connection, so a closed one is
+Chooses the connection of every order, and decides whether the server has died. A set-up goes out
+on a connection with nothing else open if there is one: a connection with a malformed or missing answer
+is closed, and every set-up open on it is lost. A standing call belongs to no connection, so a closed one is
 opened again at once to learn of the call's end. A server counts as dead only if it accepts no new
 connection: peers also reset connections of processes that live on."""
 
@@ -30,18 +30,20 @@
 MAX_RESPONSIVE_CONNECTIONS = 8  # at this number, set-ups share a connection
 MAX_CONNECTIONS = 16  # quiet ones included
 SPARE_CONNECTION_KEEP_S = 3.0  # how long an unused connection beside others is kept
-SERVER_SILENCE_S = 2.0  # with something open, a server silent for this long may have vanished
-FAILURE_CONFIRM_S = 0.2  # two failed connections at least this far apart are no coincidence
-MAX_FLAPS = 5  # connections in a row that ended before they received anything; then the orders are given up
+SERVER_SILENCE_S = 2.0  # with anything open, a server silent for this long may have failed with its machine
+# Two failures to connect at least this far apart, with no activity between, mean that the server has died.
+FAILURE_CONFIRM_S = 0.2
+# Connections in a row that ended before they received anything, after which the queued orders are given up.
+MAX_CONNECTIONS_WITHOUT_DATA = 5
 CHECK_INTERVAL_S = 0.1  # between checks of the connections
 
 
 @dataclass(slots=True)
 class Dialog:
-    """A standing call."""
+    """The SIP dialog of a standing call."""
 
-    number: bytes
-    since: float
+    number: bytes  # the number called, for the BYE
+    since: float  # when the call was answered
     connection: ServerConnection  # of its set-up: its end is reported there, if that is still open
 
 
@@ -69,13 +71,13 @@
         self.standing: OrderedDict[str, Dialog] = OrderedDict()
         self.last_heard = time.time()  # when anything but a refusal last came from the server
         self.latest_answered_sent_at = 0.0  # when the latest of the set-ups answered so far was sent
-        self.retired = False
+        self.server_gone = False  # the server list has marked the server as gone
         self._tasks = tasks
         self._connections: list[ServerConnection] = []  # oldest first
         self._unsent_releases: list[ByeOrder] = []
         self._first_failure_at = 0.0  # of a connection, since the server was last heard
-        self._reconnect_at = 0.0  # when to connect again for the standing calls
-        self._consecutive_flaps = 0
+        self._next_connect_at = 0.0  # earliest time of the next connection for standing calls or for a check
+        self._connections_without_data = 0
         self._scope = anyio.CancelScope()
 
     @property
@@ -112,23 +114,23 @@
         """Queues the release of a call; returns False if too much is queued."""
         return self._enqueue(ByeOrder(call))
 
-    def _enqueue(self, item: Order) -> bool:
+    def _enqueue(self, order: Order) -> bool:
         now = time.time()
         responsive = [connection for connection in self._connections if not connection.is_quiet(now)]
         free = [connection for connection in responsive if not connection.load]
         if free:
-            return max(free, key=lambda connection: connection.last_heard).outbox.put(item)
-        if isinstance(item, ByeOrder) and responsive:
-            return min(responsive, key=lambda connection: connection.load).outbox.put(item)
+            return max(free, key=lambda connection: connection.last_heard).outbox.put(order)
+        if isinstance(order, ByeOrder) and responsive:
+            return min(responsive, key=lambda connection: connection.load).outbox.put(order)
         may_open = (
             len(responsive) < MAX_RESPONSIVE_CONNECTIONS
             and len(self._connections) < MAX_CONNECTIONS
             and self.owner.may_connect
         )
         if may_open or not self._connections:
-            self._open_connection(item)
+            self._open_connection(order)
             return True
-        return min(responsive or self._connections, key=lambda connection: connection.load).outbox.put(item)
+        return min(responsive or self._connections, key=lambda connection: connection.load).outbox.put(order)
 
     def _open_connection(self, *orders: Order) -> None:
         connection = ServerConnection(self, orders)
@@ -171,21 +173,25 @@
             self.owner.log.event("closed", server=self.server, **counts)
         for attempt in connection.open_attempts.values():
             report(AttemptOver(attempt, interface.Outcome.RESET))
-        self._consecutive_flaps = 0 if connection.received_data else self._consecutive_flaps + 1
-        for item in connection.outbox.clear():
-            if isinstance(item, CancelOrder):
-                report(AttemptOver(item.attempt, interface.Outcome.CANCELLED))
-            elif isinstance(item, ByeOrder):
-                self._keep_release(item)
-            elif isinstance(item, Attempt) and item.sent is None and not item.ended:
+        self._connections_without_data = 0 if connection.received_data else self._connections_without_data + 1
+        for order in connection.outbox.clear():
+            if isinstance(order, CancelOrder):
+                report(AttemptOver(order.attempt, interface.Outcome.CANCELLED))
+            elif isinstance(order, ByeOrder):
+                self._keep_release(order)
+            elif isinstance(order, Attempt) and order.sent is None and not order.ended:
                 others = [other for other in self._connections if other.connected]
-                if others and not self.retired:
-                    min(others, key=lambda other: other.load).outbox.put(item)
-                elif connection.connected and not self.retired and self._consecutive_flaps < MAX_FLAPS:
-                    self._open_connection(item)
+                if others and not self.server_gone:
+                    min(others, key=lambda other: other.load).outbox.put(order)
+                elif (
+                    connection.connected
+                    and not self.server_gone
+                    and self._connections_without_data < MAX_CONNECTIONS_WITHOUT_DATA
+                ):
+                    self._open_connection(order)
                 else:
-                    report(AttemptOver(item, interface.Outcome.UNREACHED))
-        if not connection.connected and not self.retired and not connection.failed_locally:
+                    report(AttemptOver(order, interface.Outcome.UNREACHED))
+        if not connection.connected and not self.server_gone and not connection.failed_locally:
             self._connection_failed()
 
     def _keep_release(self, bye: ByeOrder) -> None:
@@ -199,20 +205,20 @@
     def _connection_failed(self) -> None:
         """Handles a connection that could not be opened.
 
-        Nothing queued for it has run. Two such failures with no other sign of life prove that the server
-        has died and that its calls are cut."""
+        None of the orders queued for it was sent. Two such failures with no activity of the server between
+        them mean that the server has died and that its calls are cut."""
         now = time.time()
         if (
             any(connection.connected for connection in self._connections)
             and now - self.last_heard < SERVER_SILENCE_S
         ):
             return  # the server accepts no more connections, but is alive
-        # Counted since the server was last heard: the kernel of a machine whose processes are gone may
-        # still accept a few connections, so that an opened connection proves nothing.
-        first = self._first_failure_at <= self.last_heard
-        if first or now - self._first_failure_at < FAILURE_CONFIRM_S:
-            self._first_failure_at = now if first else self._first_failure_at
-            self._reconnect_at = now + FAILURE_CONFIRM_S
+        # A failure is the first one if the server has been heard since the one before. An opened connection
+        # does not count as heard: the kernel of a machine may accept a few after its processes have ended.
+        is_first_failure = self._first_failure_at <= self.last_heard
+        if is_first_failure or now - self._first_failure_at < FAILURE_CONFIRM_S:
+            self._first_failure_at = now if is_first_failure else self._first_failure_at
+            self._next_connect_at = now + FAILURE_CONFIRM_S
             return
         if self.standing:
             self.owner.counters.add("servers.died")
@@ -225,11 +231,11 @@
         self.owner.inbox.put_nowait(ServerDied(self.server, now))
 
     def update_from_list(self, entry: interface.ServerEntry, directory: Directory) -> None:
-        """Follows the server list's entry of this server; the core ends its calls itself."""
+        """Applies the server list's entry of this server; the engine ends its calls by the same list."""
         record = directory.get(entry.server)
         if entry.state == "gone":
             self.standing.clear()
-            self.retired = True
+            self.server_gone = True
             self._scope.cancel()
             for connection in self._connections:
                 connection.scope.cancel()
@@ -237,7 +243,7 @@
             self.address = record.address
             for connection in self._connections:
                 connection.close("moved")
-        elif entry.started > 0:  # a restart: older connections lead to the process before
+        elif entry.started > 0:  # a restart: older connections belong to the previous process
             for call in [c for c, dialog in self.standing.items() if dialog.since < entry.started]:
                 self.end_call(call)
             for connection in self._connections:
@@ -263,13 +269,14 @@
                 connection.close("spare_lines")
                 return  # one at a time, so that the last one is kept
         if not self._connections:
-            if (self.standing or self._unsent_releases) and now >= self._reconnect_at:
-                self._reconnect_at = now + FAILURE_CONFIRM_S
+            if (self.standing or self._unsent_releases) and now >= self._next_connect_at:
+                self._next_connect_at = now + FAILURE_CONFIRM_S
                 self._open_connection()
-        elif self._has_work and now - self.last_heard >= SERVER_SILENCE_S and now >= self._reconnect_at:
-            # A vanished machine sends nothing, resets nothing and accepts no new connection. Its calls are
-            # over, and their callers must be told within 8 s: only an attempt to connect shows it.
-            self._reconnect_at = now + (
+        elif self._has_work and now - self.last_heard >= SERVER_SILENCE_S and now >= self._next_connect_at:
+            # A machine that has failed sends no data and no resets, and accepts no connection: only an
+            # attempt to connect shows that its calls are over. The platform requires that their callers are
+            # told within 8 s.
+            self._next_connect_at = now + (
                 SERVER_SILENCE_S if self._first_failure_at <= self.last_heard else FAILURE_CONFIRM_S
             )
             if len(self._connections) >= MAX_CONNECTIONS or not self.owner.may_connect:
--- a/harepick/net/outbox.py
+++ b/harepick/net/outbox.py
@@ -9,15 +9,14 @@
 import anyio
 
 Item = TypeVar("Item")
-DEFAULT_CAPACITY = 2_048
+DEFAULT_CAPACITY = 2_048  # items
 
 
 class Outbox(Generic[Item]):
     """A bounded write queue.
 
-    The writer takes items out with `take` and confirms them with `written`; until then they are in flight
-    and still belong to the outbox. A connection that ends in the middle of a write therefore still owes
-    the items in flight."""
+    The writer takes items out with `take` and confirms them with `written`. Until then they are in flight
+    and still belong to the outbox: they are not lost if the connection ends in the middle of a write."""
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self._items: deque[Item] = deque()
--- a/harepick/net/server_connection.py
+++ b/harepick/net/server_connection.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from harepick.net.connection_pool import ConnectionPool
 
-# Causes of the controller, by the Warning-Word header of a refusal.
+# `AttemptEnded.cause` for the controller, by the Warning-Word header of a refusal.
 CAUSE_BY_WARNING = {
     "group_full": 1,
     "tandem_refused": 2,
@@ -43,19 +43,22 @@
 INVITE_CSEQ = 1  # of every INVITE; a BYE has the next number
 CAUSE_CUT = 41  # Q.850 cause in the BYE of a call that was cut; 16 is normal clearing
 SEND_TIMEOUT_S = 2.0  # a server that reads nothing for this long has its connection closed
-# Failures to connect that lie on this side.
+# Errors that tell of a lack of resources in this process or machine.
 LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 MAX_CANCELLED = 4_096  # cancelled set-ups whose answer may still come
 PARTIAL_MESSAGE_TIMEOUT_S = 0.25  # a message not completed in this time is taken for cut off
 QUIET_AFTER_S = 0.25  # with a set-up open, silence for this long may mean that the connection is dead
-MAX_SEND_DELAY_S = 0.02  # from decision to send; no attempt may be sent 0.1 s after its client left
+# From decision to send; after a longer delay the sockets are read first, because no attempt may be sent 0.1 s
+# after its client left.
+MAX_SEND_DELAY_S = 0.02
 EVENT_LOOP_TURNS = 3  # enough to poll the sockets, run their readers and mark callers as gone
-OVERTAKEN_AFTER_S = 0.1  # dead, if a set-up sent this much later has been answered elsewhere
+# A quiet connection is dead if a set-up sent this much later than its oldest open one has been answered.
+MIN_OVERTAKING_S = 0.1
 
 
 @dataclass(slots=True)
 class CancelOrder:
-    """Order to cancel an attempt that is out."""
+    """Order to cancel an attempt that was sent."""
 
     attempt: Attempt
 
@@ -65,7 +68,9 @@
     """Order to release a call that stands."""
 
     call: str
-    number: bytes = b""  # set once it is sent or was to be: the dialog has ended by then
+    # Number called, kept from the dialog when the BYE is first encoded: it may have to be sent again on
+    # another connection.
+    number: bytes = b""
 
 
 # What is queued for the connection; bytes are responses and acknowledgements.
@@ -77,18 +82,18 @@
 
     def __init__(self, pool: ConnectionPool, orders: Iterable[Order] = ()) -> None:
         self._pool = pool
-        self._count = pool.owner.counters.add
+        self._add_to_counter = pool.owner.counters.add
         self.outbox: Outbox[Order] = Outbox()
         self.open_attempts: dict[str, Attempt] = {}  # oldest first
         self._cancelled: OrderedDict[str, bytes] = OrderedDict()  # call -> number called
         self.standing_calls = 0  # calls set up here that stand
         self.connected = False
         self.received_data = False
-        self.failed_locally = False  # for lack of local resources, which says nothing of the server
+        self.failed_locally = False  # for lack of local resources; the server may be alive
         self.last_heard = 0.0  # when it last received anything, or was opened
         self.scope = anyio.CancelScope()
-        for item in orders:
-            self.outbox.put(item)
+        for order in orders:
+            self.outbox.put(order)
 
     @property
     def load(self) -> int:
@@ -97,29 +102,33 @@
 
     @property
     def unused(self) -> bool:
-        """Whether nothing is lost if it is closed.
+        """Whether it can be closed without loss.
 
-        A server reports the end of a call on the connection of its set-up: what is on its way when that is
-        closed never arrives."""
+        A server reports the end of a call on the connection of its set-up; a report in transit when that
+        connection is closed is lost."""
         return self.connected and not self.load and not self.outbox.in_flight and not self.standing_calls
 
     def is_quiet(self, now: float) -> bool:
-        """Whether nothing has come for some time with a set-up open: the server is slow, or the connection
-        dead."""
+        """Whether a set-up is open and nothing was received for QUIET_AFTER_S: the server is slow, or the
+        connection is dead."""
         first = next(iter(self.open_attempts.values()), None)
         return first is not None and now - max(self.last_heard, first.sent or 0.0) > QUIET_AFTER_S
 
-    def is_dead(self, now: float, answered: float) -> bool:
-        """Whether the server has passed over the oldest set-up open here.
+    def is_dead(self, now: float, latest_answered_sent_at: float) -> bool:
+        """Whether the server has answered later set-ups but not the oldest one open here.
 
-        Servers handle set-ups in order; `answered` is when the latest set-up that the server has answered
-        on any connection was sent."""
+        Servers handle set-ups in order. `latest_answered_sent_at` is the send time of the latest set-up that
+        the server has answered on any connection."""
         first = next(iter(self.open_attempts.values()), None)
-        return first is not None and self.is_quiet(now) and (first.sent or now) + OVERTAKEN_AFTER_S < answered
+        return (
+            first is not None
+            and self.is_quiet(now)
+            and (first.sent or now) + MIN_OVERTAKING_S < latest_answered_sent_at
+        )
 
     def close(self, reason: str) -> None:
         """Closes the connection and counts it under `reason`."""
-        self._count(f"servers.{reason}")
+        self._add_to_counter(f"servers.{reason}")
         self.scope.cancel()
 
     async def run(self) -> None:
@@ -129,7 +138,7 @@
                 if stream := await self._connect():
                     await self._serve(stream)
         except Exception as error:
-            self._count("servers.faults")
+            self._add_to_counter("servers.faults")
             self._pool.owner.log.event("fault", where=self._pool.server, error=repr(error))
         finally:
             self._pool.connection_ended(self)
@@ -141,7 +150,7 @@
             with anyio.fail_after(self._pool.owner.connect_timeout):
                 stream = await anyio.connect_tcp(address.host, address.port)
         except (OSError, TimeoutError) as error:
-            self._count("servers.unreached")
+            self._add_to_counter("servers.unreached")
             name = type(error).__name__
             self._pool.owner.log.event("unreached", server=self._pool.server, error=name)
             os_error = error.__cause__ or error  # anyio wraps the system's error
@@ -149,7 +158,7 @@
             return None
         self.connected = True
         self.last_heard = time.time()
-        self._count("servers.connections")
+        self._add_to_counter("servers.connections")
         self._pool.connection_opened(self)
         return stream
 
@@ -162,7 +171,7 @@
         finally:  # also on cancellation: a descriptor must not wait for garbage collection
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
-            self._count("servers.closed")
+            self._add_to_counter("servers.closed")
 
     # Receiving
 
@@ -170,7 +179,7 @@
         """Reads until the connection ends or a message is malformed."""
         decoder = sip.Decoder()
         partial_since: float | None = None  # when the first byte of an incomplete message came
-        half_elapsed = False  # half the time for the rest of that message has passed
+        half_time_elapsed = False  # half the time for the rest of that message has passed
         while True:
             limit = self._pool.owner.idle_close if partial_since is None else PARTIAL_MESSAGE_TIMEOUT_S / 2
             try:
@@ -180,13 +189,13 @@
                     busy = self.load or self.outbox.in_flight or self._pool.standing
                     if partial_since is None and not busy:
                         return
-                    # Two waits in a row: the delay is not one of this process.
-                    if partial_since is not None and half_elapsed:
+                    # Only the second wait in a row ends the connection: one may be a pause of this process.
+                    if partial_since is not None and half_time_elapsed:
                         raise sip.SipError("message was not completed in time")
-                    half_elapsed = True
+                    half_time_elapsed = True
                     continue
                 self.last_heard = time.time()
-                half_elapsed, self.received_data = False, True
+                half_time_elapsed, self.received_data = False, True
                 count = 0
                 for message in decoder.feed(data):
                     count += 1
@@ -201,12 +210,12 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return
             except sip.SipError as error:
-                self._count("servers.malformed")
+                self._add_to_counter("servers.malformed")
                 self._pool.owner.log.event("malformed", server=self._pool.server, error=str(error))
                 return
 
     async def _handle_message(self, message: sip.Message) -> None:
-        # A refusal is no sign of life: it may come from an intermediary in front of a vanished machine.
+        # A refusal does not show that the server is alive: an intermediary may have sent it.
         if message.status < 300:
             self._pool.last_heard = self.last_heard
         if message.status:
@@ -215,14 +224,14 @@
             return
         match message.method:
             case "BYE":
-                self._count("servers.releases")
+                self._add_to_counter("servers.releases")
                 self._enqueue(sip.response(message, 200, b"OK"))
                 self._pool.end_call(message.call)
                 self._report(
                     CallOver(message.call, self._pool.server, sip.release_cause(message) == CAUSE_CUT)
                 )
             case "NOTIFY":
-                self._count("servers.notifies")
+                self._add_to_counter("servers.notifies")
                 if report := sip.parse_load(message):
                     await self._pool.owner.inbox.put(
                         ControllerEvent(
@@ -234,16 +243,19 @@
             case "ACK":
                 pass
             case _:
-                self._count("servers.unknown")
+                self._add_to_counter("servers.unknown")
                 self._enqueue(sip.response(message, 501, b"Not Implemented"))
 
     def _handle_final_response(self, message: sip.Message) -> None:
         """Handles a final response to an INVITE; it is acknowledged even if it comes too late.
 
-        Matched by Call-ID and method alone: servers answer `CSeq: 1 INVITE` to every INVITE, so the
-        sequence number does not identify the attempt. A cancelled set-up is no longer open, and its 487
-        ends nothing. An answer to a Call-ID never sent here is counted and does not affect the ones that
-        follow."""
+        Responses are matched by Call-ID and method alone: servers answer `CSeq: 1 INVITE` to every INVITE, so
+        the sequence number does not identify the attempt.
+
+        - A response with an unknown Call-ID is only counted.
+        - A 487 confirms a cancel; its set-up is no longer open.
+        - An answer makes the call stand; a repeated one is only counted.
+        - A refusal ends the attempt, unless that has ended already."""
         call, standing = message.call, self._pool.standing
         if call in self.open_attempts and message.status != 487:
             number = request_of(self.open_attempts[call]).number
@@ -252,35 +264,35 @@
         elif call in standing:
             number = standing[call].number
         else:
-            self._count("servers.unknown_answers")
+            self._add_to_counter("servers.unknown_answers")
             return
         if message.status < 300 and not message.body:
             raise sip.SipError("answer has no session description")
         self._enqueue(sip.request("ACK", number, call, INVITE_CSEQ))
         if message.status == 487:
-            self._count("servers.cancels_heard")
+            self._add_to_counter("servers.cancels_heard")
             return
         attempt = self.open_attempts.pop(call, None)
         if message.status < 300:
             if attempt is None and call in standing:
-                self._count("servers.copies")
+                self._add_to_counter("servers.copies")
                 return
-            # Only for an answer: a refusal may overtake queued set-ups, and proves nothing about them.
+            # Not for a refusal, which may overtake the set-ups queued at the server.
             if attempt is not None:
                 self._pool.latest_answered_sent_at = max(
                     self._pool.latest_answered_sent_at, attempt.sent or 0.0
                 )
-            self._count("servers.answers")
+            self._add_to_counter("servers.answers")
             self._pool.call_stands(call, number, self)
             attempt_number = -1 if attempt is None else attempt.number
             self._report(Answered(call, attempt_number, self._pool.server, message.body))
         elif attempt is not None:
-            self._count(f"servers.status_{message.status}")
+            self._add_to_counter(f"servers.status_{message.status}")
             outcome = OUTCOME_BY_STATUS.get(message.status, interface.Outcome.ERROR)
             cause = CAUSE_BY_WARNING.get(message.text(b"warning-word"), 0)
             self._report(AttemptOver(attempt, outcome, cause))
         else:
-            self._count("servers.late_answers")
+            self._add_to_counter("servers.late_answers")
 
     # Sending
 
@@ -294,10 +306,10 @@
         while True:
             await self.outbox.wait()
             await self._let_readers_run()
-            items = self.outbox.take()
-            # No await from here until the kernel has the bytes: nothing may change after the check in
-            # `_encode`.
-            parts = [(item, data) for item in items if (data := self._encode(item)) is not None]
+            orders = self.outbox.take()
+            # No other task may run between the check in `_encode` and the write: `send` writes before it
+            # suspends, unless its buffer is full.
+            parts = [(order, data) for order in orders if (data := self._encode(order)) is not None]
             try:
                 with anyio.fail_after(SEND_TIMEOUT_S):
                     await stream.send(b"".join(data for _, data in parts))
@@ -306,35 +318,39 @@
                 return
             self.outbox.written()
             # Basis of the metric `upstream_requests_total`: set-ups whose last byte the kernel has taken.
-            self._count("servers.invites_written", sum(isinstance(item, Attempt) for item, _ in parts))
-            for item, _ in parts:
-                if isinstance(item, CancelOrder):
-                    self._report(AttemptOver(item.attempt, interface.Outcome.CANCELLED))
+            self._add_to_counter(
+                "servers.invites_written", sum(isinstance(order, Attempt) for order, _ in parts)
+            )
+            for order, _ in parts:
+                if isinstance(order, CancelOrder):
+                    self._report(AttemptOver(order.attempt, interface.Outcome.CANCELLED))
 
     async def _let_readers_run(self) -> None:
         """Lets the readers of the other sockets run before a set-up that was delayed is sent.
 
-        After a long turn of the event loop, the end of its caller or of its server may lie in a socket
-        that has not been read."""
+        After a long turn of the event loop, the disconnect of its caller or of its server may not have been
+        read from the socket yet."""
         now = time.time()
-        if self.outbox.any(lambda item: isinstance(item, Attempt) and now - item.placed > MAX_SEND_DELAY_S):
+        if self.outbox.any(
+            lambda order: isinstance(order, Attempt) and now - order.placed > MAX_SEND_DELAY_S
+        ):
             for _ in range(EVENT_LOOP_TURNS):
                 await anyio.lowlevel.checkpoint()
 
-    def _encode(self, item: Order) -> bytes | None:
+    def _encode(self, order: Order) -> bytes | None:
         """Returns the bytes of an order, or None if it no longer applies."""
-        if isinstance(item, bytes):
-            return item
-        if isinstance(item, ByeOrder):
-            if dialog := self._pool.end_call(item.call):
-                item.number = dialog.number
-            if not item.number:
+        if isinstance(order, bytes):
+            return order
+        if isinstance(order, ByeOrder):
+            if dialog := self._pool.end_call(order.call):
+                order.number = dialog.number
+            if not order.number:
                 return None  # the call has ended meanwhile
-            self._count("servers.sent_bye")
-            return sip.bye(item.number, item.call, INVITE_CSEQ + 1, 16)
+            self._add_to_counter("servers.sent_bye")
+            return sip.bye(order.number, order.call, INVITE_CSEQ + 1, 16)  # normal call clearing
         now = time.time()
-        if isinstance(item, CancelOrder):
-            attempt = item.attempt
+        if isinstance(order, CancelOrder):
+            attempt = order.attempt
             if self.open_attempts.get(attempt.call) is not attempt:  # answered meanwhile
                 self._report(AttemptOver(attempt, interface.Outcome.CANCELLED))
                 return None
@@ -342,19 +358,19 @@
             number = self._cancelled[attempt.call] = request_of(attempt).number
             if len(self._cancelled) > MAX_CANCELLED:
                 self._cancelled.popitem(last=False)
-            self._count("servers.sent_cancel")
+            self._add_to_counter("servers.sent_cancel")
             return sip.request("CANCEL", number, attempt.call, INVITE_CSEQ)
-        if not item.may_send(now):
-            if not item.ended:
-                self._report(AttemptOver(item, interface.Outcome.MOOT))
+        if not order.may_send(now):
+            if not order.ended:
+                self._report(AttemptOver(order, interface.Outcome.MOOT))
             return None
-        request = request_of(item)
-        item.sent = now
-        self.open_attempts[item.call] = item
-        self._count("servers.sent_invite")
-        time_left_ms = max(1, round((item.deadline - now) * 1000))
+        request = request_of(order)
+        order.sent = now
+        self.open_attempts[order.call] = order
+        self._add_to_counter("servers.sent_invite")
+        time_left_ms = max(1, round((order.deadline - now) * 1000))
         return sip.invite(
-            request.number, item.call, INVITE_CSEQ, request.class_name, time_left_ms, request.description
+            request.number, order.call, INVITE_CSEQ, request.class_name, time_left_ms, request.description
         )
 
     def _report(self, message: Message) -> None:
--- a/harepick/net/servers.py
+++ b/harepick/net/servers.py
@@ -1,4 +1,4 @@
-"""The core's port to the setup servers: hands every order to the connection pool of its server.
+"""The core's port to the setup servers: passes every order to the connection pool of its server.
 
 Owns the set of pools and makes no decisions: whether a set-up may still be sent is asked of the core right
 before its bytes go out, in `server_connection.py`."""
@@ -78,11 +78,11 @@
             self.counters.add("servers.releases_lost")
 
     def apply_list(self, event: interface.ServerList) -> None:
-        """Follows the server list: connections to a server that was restarted or removed are closed."""
+        """Applies the server list: closes connections to a server that was restarted, moved or removed."""
         for entry in event.entries:
             if pool := self._pools.get(entry.server):
                 pool.update_from_list(entry, self.directory)
-                if pool.retired:
+                if pool.server_gone:
                     del self._pools[entry.server]
 
     def _pool(self, server: str) -> ConnectionPool | None:
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -20,7 +20,7 @@
 from harepick.lifecycle import wait_until
 from harepick.log import Log
 from harepick.net.bus import BusClient
-from harepick.net.callers import HANDSHAKE_SETTLE_S, MAX_ENTERING, Callers
+from harepick.net.callers import HANDSHAKE_SETTLE_S, MAX_UNCOUNTED_CONNECTIONS, Callers
 from harepick.net.servers import Servers
 from harepick.settings import PlatformSettings, SettingsError, read_platform
 
@@ -29,13 +29,14 @@
     from harepick.ops import Telemetry
 
 ACCEPT_AFTER_SIGTERM_S = 0.8  # new connections and set-ups still arrive for this long after SIGTERM
-MAX_ANSWER_GRACE_S = 3.0  # SIGKILL comes this, or the longest deadline if shorter, plus 0.7 s after SIGTERM
-MAX_HANDOVER_HOLD_S = 5.0  # at a handover SIGKILL comes after the longest deadline, 5 s at most, plus 0.7 s
-KILL_MARGIN_S = 0.7  # the 0.7 s above
-FLUSH_S = 0.2  # to write the last messages
+# After SIGTERM, SIGKILL comes after the longest deadline, or this time if shorter, plus KILL_MARGIN_S.
+MAX_ANSWER_GRACE_S = 3.0
+MAX_HANDOVER_HOLD_S = 5.0  # the same at a handover to a successor
+KILL_MARGIN_S = 0.7  # between the time given above and SIGKILL
+FLUSH_S = 0.2  # for writing the last messages
 # Descriptors of the process itself: log, event loop, listeners, bus, a file that is reloaded, and
 # connections that have been accepted and are not yet counted.
-OWN_DESCRIPTORS = 12 + MAX_ENTERING
+OWN_DESCRIPTORS = 12 + MAX_UNCOUNTED_CONNECTIONS
 RECEIVE_BUFFER_BYTES = 32 * 1024  # of a caller connection: twice the longest message
 
 
@@ -106,12 +107,17 @@
         if self._bus and config.bus != self._bus.address:
             self._bus.change_address(config.bus)
         old = self._config
-        retuned = (config.settings, config.open_cap, config.idle_close) != (
+        settings_changed = (config.settings, config.open_cap, config.idle_close) != (
             old.settings,
             old.open_cap,
             old.idle_close,
         )
-        if retuned and self._inbox is not None and self._callers is not None and self._servers is not None:
+        if (
+            settings_changed
+            and self._inbox is not None
+            and self._callers is not None
+            and self._servers is not None
+        ):
             self._callers.replace_classes(config.settings.classes)
             self._inbox.put_nowait(ReplaceSettings(config.settings, config.open_cap))
             self._servers.connect_timeout = config.settings.connect_timeout
@@ -130,7 +136,7 @@
         ]
         self._counters.add("reload.files")
         classes = [c.name for c in self._config.settings.classes]
-        self._log.event("reloaded", retuned=retuned, classes=classes, waiting_for_restart=waiting)
+        self._log.event("reloaded", retuned=settings_changed, classes=classes, waiting_for_restart=waiting)
 
     def _apply_gaps(self, config: PlatformSettings) -> None:
         """Sets, changes and lifts gaps as configured; the gapping package is imported only if there are
@@ -236,8 +242,8 @@
     async def _drain(self, engine: Engine, callers: Callers, servers: Servers, closing: anyio.Event) -> None:
         """Drains gracefully, in the order of docs/design/operating.md.
 
-        Takes what still arrives, answers every request before SIGKILL can come, keeps standing calls for
-        as long as this process may run, and then releases them."""
+        Accepts requests that still arrive, answers every request before SIGKILL can come, keeps standing
+        calls for as long as this process may run, and then releases them."""
         started_at = time.monotonic()
 
         def grace() -> float:
@@ -248,8 +254,8 @@
         closing.set()  # from now on new connections go to the successor, or are refused
         # Computed after the wait: a reload may have come with the signal.
         hold = min(MAX_HANDOVER_HOLD_S, self._longest_deadline) + KILL_MARGIN_S + FLUSH_S
-        # An accepted connection may still bring a set-up, or the rest of one. What the listener accepted
-        # last is registered a moment after the close.
+        # An accepted connection may still send a set-up, or the rest of one. Connections that the listener
+        # accepted last are registered shortly after it is closed.
         await wait_until(
             lambda: engine.idle and not callers.receiving, grace() - accept_for, 2 * HANDSHAKE_SETTLE_S
         )
--- a/harepick/net/setups.py
+++ b/harepick/net/setups.py
@@ -1,7 +1,7 @@
 """Validation of callers' set-ups, done once, before a call is registered.
 
 A setup server closes a connection on which it receives a message that it cannot parse, and every other
-set-up open there is lost. Nothing is therefore passed on that does not follow the protocol. Numeric fields
+set-up open there is lost. Only set-ups that follow the protocol are therefore passed on. Numeric fields
 are digits within bounds: no signs, blanks or underscores, and no values too large to convert."""
 
 from __future__ import annotations
--- a/harepick/net/steering.py
+++ b/harepick/net/steering.py
@@ -1,9 +1,9 @@
-"""Steers new connections from one listening socket of an SO_REUSEPORT group to the next younger one.
+"""Directs new connections from the oldest listening socket of an SO_REUSEPORT group to the next one.
 
 The kernel completes handshakes on behalf of a listening socket until it is closed, and resets the
 connections in its queue at the close; no order of accept and close calls avoids that. A classic BPF filter
-on the group (Linux 4.5 and later) makes the kernel choose another socket for new connections. Those
-already begun here are accepted, and the socket can then be closed with an empty queue."""
+on the group (Linux 4.5 and later) makes the kernel choose another socket for new connections. Connections
+already begun on the old one are accepted, and it can then be closed with an empty queue."""
 
 from __future__ import annotations
 
--- a/harepick/ops/exposition.py
+++ b/harepick/ops/exposition.py
@@ -24,7 +24,7 @@
     upstream_requests: int = 0  # set-ups written completely to setup servers
     pending: int = 0  # requests accepted and not ended: unanswered or standing
     members: int = 0  # setup servers in the list
-    members_unavailable: int = 0  # of those, the ones that new calls avoid now
+    members_unavailable: int = 0  # of those, the ones that get no new calls now
     config_reloads: int = 0  # files applied at SIGHUP
     config_reload_errors: int = 0  # files rejected at SIGHUP
     gaps: dict[str, tuple[int, int, int]] = field(default_factory=dict)  # gap -> offered, passed, refused
--- a/harepick/ops/listener.py
+++ b/harepick/ops/listener.py
@@ -87,7 +87,7 @@
         while True:
             try:
                 stream = await listener.accept()
-            except OSError as error:  # out of descriptors, for example: the platform's front has priority
+            except OSError as error:  # for example, no descriptor is left: the platform's front has priority
                 self._counters.add("ops.not_accepted")
                 self._log.event("not_accepted", front="ops", error=error.strerror)
                 await anyio.sleep(0.05)
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -45,11 +45,11 @@
     name: str
     listen: Address
     bus: Address
-    known: Mapping[str, Any]
+    known: Mapping[str, Any]  # the server list at the start
     seed: int
-    sockets: int
-    open_cap: int
-    idle_close: float
+    sockets: int  # descriptors that the process may open
+    open_cap: int  # calls that may be open at once
+    idle_close: float  # until an unused connection to a server is closed
     settings: interface.Settings
     ops: Address | None = None  # of the `ops` listener; None: there is none
     gaps: tuple[Any, ...] = ()  # `harepick.gapping.config.GapRow`s; imported only if there are any
@@ -98,7 +98,7 @@
 
 
 def _read_number(table: Mapping[str, Any], path: str, low: float, default: float | None = None) -> float:
-    """Returns the number at a dotted path, `low` at least; without a default, it must be there."""
+    """Returns the number at a dotted path, which must be at least `low`; required without a default."""
     value: Any = table
     for part in path.split("."):
         value = value.get(part) if isinstance(value, Mapping) else None
@@ -127,7 +127,7 @@
 
 
 def _read_text(table: Mapping[str, Any], key: str, default: str | None = None) -> str:
-    """Returns the text under a key; without a default, it must be there."""
+    """Returns the text under a key; required without a default."""
     value = table.get(key, default)
     if value is None:
         raise SettingsError(f"setting {key} is missing")
@@ -144,9 +144,9 @@
         ipaddress.ip_address(host)
         number = int(port)
     except ValueError:
-        raise SettingsError(f"setting {key} is no address and port: {text!r}") from None
+        raise SettingsError(f"setting {key} is not an address and a port: {text!r}") from None
     if not 0 <= number <= 65535:
-        raise SettingsError(f"setting {key} has no such port: {text!r}")
+        raise SettingsError(f"setting {key} has a port outside 0 to 65535: {text!r}")
     return Address(host, number)
 
 
@@ -162,14 +162,14 @@
     if not isinstance(pools, list):
         raise SettingsError(f"setting Extra.AllowedPools makes no sense: {pools!r}")
     classes: list[interface.CallClass] = []
-    for n, row in enumerate(rows):
+    for index, row in enumerate(rows):
         if not isinstance(row, Mapping) or not isinstance(row.get("Name"), str):
-            raise SettingsError(f"setting Classes[{n}].Name is missing")
-        if any(c.name == row["Name"] for c in classes):
-            raise SettingsError(f"setting Classes[{n}].Name is there twice: {row['Name']!r}")
-        allowed = pools[n] if n < len(pools) else None
+            raise SettingsError(f"setting Classes[{index}].Name is missing")
+        if any(call_class.name == row["Name"] for call_class in classes):
+            raise SettingsError(f"setting Classes[{index}].Name is used twice: {row['Name']!r}")
+        allowed = pools[index] if index < len(pools) else None
         if allowed is not None and not (isinstance(allowed, list) and all(map(_is_integer, allowed))):
-            raise SettingsError(f"setting Extra.AllowedPools[{n}] makes no sense: {allowed!r}")
+            raise SettingsError(f"setting Extra.AllowedPools[{index}] makes no sense: {allowed!r}")
         try:
             classes.append(
                 interface.CallClass(
@@ -184,7 +184,7 @@
                 )
             )
         except SettingsError as error:
-            raise SettingsError(str(error).replace("setting ", f"setting Classes[{n}].", 1)) from None
+            raise SettingsError(str(error).replace("setting ", f"setting Classes[{index}].", 1)) from None
     return tuple(classes)
 
 
@@ -265,9 +265,9 @@
     try:
         seed_number = int(seed, 16)
     except ValueError:
-        raise SettingsError(f"setting seed is no hexadecimal number: {seed!r}") from None
+        raise SettingsError(f"setting seed is not a hexadecimal number: {seed!r}") from None
     try:
-        module = read_settings(settings)
+        controller_settings = read_settings(settings)
         return PlatformSettings(
             name=environ.get("GW_NAME") or _read_text(config, "name"),
             listen=parse_address(environ.get("GW_LISTEN") or _read_text(config, "listen"), "listen"),
@@ -277,7 +277,7 @@
             sockets=int(_read_number(config, "limits.sockets", 32, DEFAULT_SOCKETS)),
             open_cap=int(_read_number(settings, "Bounds.OpenCap", 1, DEFAULT_OPEN_CAP)),
             idle_close=_read_number(settings, "Bounds.IdleClose", 0.001, DEFAULT_IDLE_CLOSE_S),
-            settings=module,
+            settings=controller_settings,
             gaps=_read_gaps(config.get("gaps"), "gaps", "platform"),
             ops=_read_ops(
                 environ.get("GW_OPS") or config.get("ops"),
@@ -293,7 +293,8 @@
 def _read_gaps(rows: Any, where: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
     """Reads number gaps; the gapping package is imported only if there are any.
 
-    With `call_class`, the only class of the front, everything but the gaps' times is checked as well."""
+    With `call_class`, the only class of the front, the rows are also checked against that class, except for
+    their times."""
     if not rows:
         return ()
     from harepick.gapping.config import read_rows
@@ -318,7 +319,7 @@
         text = listen.rpartition(":")[0] + text
     where = parse_address(text, "ops")
     if ":" in where.host:
-        raise SettingsError(f"setting ops is no IPv4 address: {text!r}")
+        raise SettingsError(f"setting ops is not an IPv4 address: {text!r}")
     return where
 
 
@@ -400,13 +401,13 @@
     front = _read_table(table, "enum")
     deadline = _read_number(table, "enum.deadline_ms", 100, 2000) / 1000.0
     aim = _read_number(table, "class.aim_ms", 10, 1000) / 1000.0
-    name = _read_text(front, "class", "look-up")
+    class_name = _read_text(front, "class", "look-up")
     settings = interface.Settings(
         me=0,
         fronts=1,
         classes=(
             interface.CallClass(
-                name=name,
+                name=class_name,
                 aim=min(aim, deadline),
                 give_up=deadline,
                 worth=_read_number(table, "class.worth", 0.0, 1.0),
@@ -418,7 +419,7 @@
         tip_multiple=2.0,
         tip_after=1.5,
         drain_grace=_read_number(table, "rules.drain_grace_ms", 0, 250) / 1000.0,
-        answer_grace=0.02,  # to answer a caller whose attempt the deadline ends
+        answer_grace=0.02,  # for the answer to a caller whose attempt ended at the deadline
         release_guard=_read_number(table, "rules.release_ms", 0, 300) / 1000.0,
         try_limit=int(_read_number(table, "rules.try_limit", 1, 4)),
         connect_timeout=_read_number(table, "rules.connect_timeout_ms", 1, 500) / 1000.0,
@@ -432,7 +433,7 @@
     return EnumSettings(
         listen=listen,
         suffix=_read_suffix(_read_text(front, "suffix", "e164.arpa.")),
-        call_class=name,
+        call_class=class_name,
         deadline=deadline,
         edns_size=int(_read_number(table, "enum.edns_size", 512, 1232)),
         tcp_clients=int(_read_number(table, "enum.tcp_clients", 0, 128)),
@@ -441,16 +442,19 @@
         seed=None if seed < 0 else int(seed),
         upstreams=upstreams,
         settings=settings,
-        routes=_read_routes(table.get("route", []), {u.name for u in upstreams}),
-        gaps=_read_gaps(table.get("gap"), "gap", "e164", name),
-        maintenance=_read_maintenance(table.get("maintenance"), {u.name for u in upstreams}),
-        limits=_read_limits(table.get("limit"), {u.name for u in upstreams}),
+        routes=_read_routes(table.get("route", []), {upstream.name for upstream in upstreams}),
+        gaps=_read_gaps(table.get("gap"), "gap", "e164", class_name),
+        maintenance=_read_maintenance(table.get("maintenance"), {upstream.name for upstream in upstreams}),
+        limits=_read_limits(table.get("limit"), {upstream.name for upstream in upstreams}),
         verdicts=_read_verdicts(table.get("verdicts")),
         autogap=_read_autogap(table.get("autogap")),
         membership=_read_membership(table.get("membership")),
     )
 
 
+# The packages of the next five sections are imported only if the section is present.
+
+
 def _read_limits(rows: Any, servers: set[str]) -> tuple[Any, ...]:
     if rows is None:
         return ()
@@ -488,7 +492,7 @@
 
 
 def _read_maintenance(table: Any, servers: set[str]) -> Any:
-    """Reads what may be in maintenance at once; the package is imported only if that is configured."""
+    """Reads `[maintenance]`, the bounds on what may be in maintenance at once."""
     if table is None:
         return None
     from harepick.fleet.maintenance.settings import read_maintenance
@@ -500,7 +504,7 @@
     """Checks that `text` is a domain name."""
     labels = text.rstrip(".").split(".")
     if len(text) > 200 or not all(DNS_LABEL.match(label) for label in labels):
-        raise SettingsError(f"setting enum.suffix is no domain name: {text!r}")
+        raise SettingsError(f"setting enum.suffix is not a domain name: {text!r}")
     return text
 
 
@@ -511,17 +515,17 @@
     if len(rows) > MAX_UPSTREAMS:
         raise SettingsError(f"setting upstream has over {MAX_UPSTREAMS} rows")
     upstreams: list[Upstream] = []
-    for n, row in enumerate(rows):
+    for index, row in enumerate(rows):
         try:
             where = parse_address(_read_text(row, "address"), "address")
             draining = row.get("draining", False)
             if not isinstance(draining, bool):
                 raise SettingsError(f"setting draining makes no sense: {draining!r}")
             upstream = Upstream(_read_text(row, "name"), where, draining)
-            if any(u.name == upstream.name for u in upstreams):
-                raise SettingsError(f"setting name is there twice: {upstream.name!r}")
+            if any(other.name == upstream.name for other in upstreams):
+                raise SettingsError(f"setting name is used twice: {upstream.name!r}")
         except SettingsError as error:
-            raise SettingsError(str(error).replace("setting ", f"setting upstream[{n}].", 1)) from None
+            raise SettingsError(str(error).replace("setting ", f"setting upstream[{index}].", 1)) from None
         upstreams.append(upstream)
     return tuple(upstreams)
 
@@ -533,16 +537,16 @@
     if len(rows) > MAX_ROUTES:
         raise SettingsError(f"setting route has over {MAX_ROUTES} rows")
     routes: dict[str, Route] = {}
-    for n, row in enumerate(rows):
+    for index, row in enumerate(rows):
         prefix, upstreams = row.get("prefix"), row.get("upstreams")
         if not isinstance(prefix, str) or not ROUTE_PREFIX.match(prefix):
-            raise SettingsError(f"setting route[{n}].prefix is no + and digits: {prefix!r}")
+            raise SettingsError(f"setting route[{index}].prefix must be a + and up to 15 digits: {prefix!r}")
         if prefix in routes:
-            raise SettingsError(f"setting route[{n}].prefix is there twice: {prefix!r}")
+            raise SettingsError(f"setting route[{index}].prefix is used twice: {prefix!r}")
         if not isinstance(upstreams, list) or not upstreams:
-            raise SettingsError(f"setting route[{n}].upstreams makes no sense: {upstreams!r}")
+            raise SettingsError(f"setting route[{index}].upstreams makes no sense: {upstreams!r}")
         for name in upstreams:
             if name not in known:
-                raise SettingsError(f"setting route[{n}].upstreams names no upstream: {name!r}")
+                raise SettingsError(f"setting route[{index}].upstreams names an unknown upstream: {name!r}")
         routes[prefix] = Route(prefix, tuple(upstreams))
     return tuple(routes.values())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
 import anyio.lowlevel
 import pytest
 
-from harepick import interface as i
+from harepick import interface
 from harepick.core.inbox import DEFAULT_CAPACITY, MAX_BATCH_MESSAGES, Inbox
 from harepick.core.messages import Attempt, AttemptOver, CallerGone, Message, Offer
 from harepick.counters import Counters
@@ -80,7 +80,7 @@
 def test_no_attempt_for_a_client_that_left_while_its_call_waited_for_a_connection(
     how: str, cancelling: bool
 ) -> None:
-    """If the settings allow no cancel, the controller revokes nothing: the check before sending must
+    """If the settings allow no cancel, the controller cancels nothing: the check before sending must
     notice that the client has left."""
     platform = peers.Platform()
     platform.config["settings"]["Bounds"] |= {"Cancelling": cancelling, "DialTimeout": 6.0}
@@ -104,8 +104,8 @@
 
 
 def first_invite(server: peers.SetupServer) -> tuple[peers.Peer, sip.Message] | None:
-    """The first set-up on any connection; the fillers of the accept queue are connections that end at
-    once."""
+    """Returns the first set-up read within 0.05 s; connections that only filled the accept queue are
+    skipped."""
     return server.invited(within=0.05)
 
 
@@ -145,11 +145,11 @@
         peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 1, why="all others given up")
         sent = running.counters()["servers.sent_invite"]
         peers.until(lambda: platform.servers[0].invited(within=0.5) is None, why="the rest to be read")
-        assert running.counters()["servers.sent_invite"] == sent
+        assert running.counters()["servers.sent_invite"] == sent  # no attempt began later
 
 
 def test_call_id_reused_while_its_first_attempt_is_open_is_refused() -> None:
-    """The second caller's connection was closed without an answer, as for the id of an open call."""
+    """Regression: the second caller's connection was closed without an answer, as for an open call's id."""
     platform = peers.Platform()
     platform.config["settings"]["Bounds"]["Cancelling"] = False
     with platform.run() as running:
@@ -180,8 +180,8 @@
 
 
 def test_watch_that_withholds_events_is_replaced() -> None:
-    """The platform holds an instance to events 4 s after a watch stops bringing them; the line sent every
-    second kept the silence check from noticing."""
+    """Regression: the line sent every second kept the silence check from noticing. The platform requires an
+    instance to act on an event within 4 s after a watch stops sending events."""
     platform = peers.Platform()
     with platform.run() as running:
         lagging_bus = platform.accept_bus_connection()
@@ -210,7 +210,7 @@
         bus_sends(
             again, peers.event(3, peers.row("s0", platform.servers[0].address, 0, "DRAINING")), {"offset": 3}
         )
-        peers.until(lambda: len(running.events("list")) == 2, why="what was kept back")
+        peers.until(lambda: len(running.events("list")) == 2, why="the withheld event")
         assert running.counters()["bus.behind"] == 1
 
 
@@ -257,7 +257,7 @@
     due = sorted(lag.reconnect_at - 100.0 for lag in lags if lag.reconnect_at is not None)
     assert len(due) == 200 and due[0] >= LAG_TOLERANCE_S and due[-1] <= LAG_TOLERANCE_S + LAG_JITTER_S
     per_tenth = [sum(n / 10 <= d - LAG_TOLERANCE_S < (n + 1) / 10 for d in due) for n in range(10)]
-    assert max(per_tenth) < 45  # of 200; without jitter all would fall into one
+    assert max(per_tenth) < 45  # of 200; without jitter all would be in one tenth
     lag = lags[0]
     for tries in range(1, 8):
         lag.watch_started()
@@ -276,7 +276,7 @@
 
 @pytest.mark.parametrize("first", [0, 9])
 def test_set_up_received_in_pieces_across_sigterm_is_answered(first: int) -> None:
-    """With no call open, the process ended after 0.8 s, before the set-up or in the middle of it."""
+    """Regression: with no call open, the process ended after 0.8 s, before or within the set-up."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -381,7 +381,7 @@
         call = caller.call(time_limit_ms=4000, destination=0)
         running.wait_for_counter("attempts.placed")
         bus_sends(bus, peers.event(2, peers.row("s0", platform.servers[0].address, 0, state)))
-        peers.until(lambda: running.events("list"), why="the news")
+        peers.until(lambda: running.events("list"), why="the new server list")
         make_reachable()
         found = peers.until(lambda: platform.servers[1].invited(within=0.1), why="the call at the other")
         assert found[1].call == call.hex()
@@ -414,8 +414,9 @@
 
 @pytest.mark.parametrize("sockets", [64, 256])
 def test_idle_clients_do_not_exhaust_the_descriptors(sockets: int) -> None:
-    """Callers, `ops` clients and connections to servers each have a share of the descriptors; before,
-    their limits added up to more than the process may open."""
+    """Callers, `ops` clients and connections to servers each have a share of the descriptors.
+
+    Regression: their limits added up to more than the process may open."""
     platform = peers.Platform()
     platform.config["limits"]["sockets"] = sockets
     where = platform.bus.getsockname()
@@ -490,13 +491,13 @@
     return "asyncio"
 
 
-class CallerServer:
+class CallersHarness:
     """The server side of caller connections on a real listener, in this event loop, with an inbox that
     nobody drains."""
 
     def __init__(self) -> None:
         self.inbox, self.counters = Inbox(), Counters()
-        classes = (i.CallClass("a", 1.0, 4.0, 1.0),)
+        classes = (interface.CallClass("a", 1.0, 4.0, 1.0),)
         self.callers = Callers(classes, self.inbox, self.counters, Log(fd=1), max_connections=64)
         self.closing = anyio.Event()
 
@@ -544,30 +545,30 @@
 
 @pytest.mark.parametrize("count", range(8))
 async def test_connection_accepted_as_the_listener_closes_is_served(count: int) -> None:
-    """A wait cancelled between the kernel's accept and the start of the connection's task dropped the
-    connection."""
-    callers_server = CallerServer()
+    """Regression: a wait cancelled between the kernel's accept and the start of the connection's task dropped
+    the connection."""
+    harness = CallersHarness()
     test = binary.Message(binary.TEST, b"\1" * 8, {binary.CAUSE: b"\0"}).encode()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
+        port = await tasks.start(harness.run)
         await loop_turns(5)  # until the listener waits
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(test)
             await loop_turns(count)
-            callers_server.closing.set()
+            harness.closing.set()
             assert [m.type for m in await read(client, binary.Decoder())] == [binary.TEST_RESULT]
         tasks.cancel_scope.cancel()
 
 
 async def test_connection_reset_in_the_accept_queue_at_the_close_affects_no_other() -> None:
-    callers_server = CallerServer()
+    harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
+        port = await tasks.start(harness.run)
         await loop_turns(5)
         stays = socket.create_connection(("127.0.0.1", port))
         resets = socket.create_connection(("127.0.0.1", port))
         resets.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-        callers_server.closing.set()  # before anything has been accepted
+        harness.closing.set()  # before anything has been accepted
         resets.close()
         stays.sendall(binary.Message(binary.TEST, b"\1" * 8, {binary.CAUSE: b"\0"}).encode())
         assert [m.type for m in await read(stays, binary.Decoder())] == [binary.TEST_RESULT]
@@ -575,27 +576,29 @@
         tasks.cancel_scope.cancel()
 
 
-async def opened(callers_server: CallerServer, port: int) -> tuple[socket.socket, CallerConnection]:
+async def opened(harness: CallersHarness, port: int) -> tuple[socket.socket, CallerConnection]:
     """Opens a caller's connection and sends a set-up on it; returns the client's socket and the server's
     connection."""
-    before = set(callers_server.connections())
+    before = set(harness.connections())
     sock = socket.create_connection(("127.0.0.1", port))
     fields = {binary.CLASS: b"a", binary.NUMBER: b"77", binary.DESCRIPTION: b"offer"}
     sock.sendall(binary.Message(binary.SET_UP, bytes(7) + bytes([len(before) + 1]), fields).encode())
-    await wait_for(lambda: any(c.open_set_ups for c in callers_server.connections() - before))
-    (connection,) = callers_server.connections() - before
+    await wait_for(lambda: any(c.open_set_ups for c in harness.connections() - before))
+    (connection,) = harness.connections() - before
     return sock, connection
 
 
 async def test_release_in_flight_when_its_connection_ends_goes_out_on_another() -> None:
-    """The writer had taken the release in the turn in which the connection ended, and it was lost: the
-    call was left standing."""
-    callers_server = CallerServer()
+    """Regression: the writer took the release in the turn in which the connection ended, and it was lost:
+    the call was left standing."""
+    harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
-        first, ending = await opened(callers_server, port)
-        second, _ = await opened(callers_server, port)
-        (offer,) = [w for w in await callers_server.messages(Offer) if w.caller.connection is ending]
+        port = await tasks.start(harness.run)
+        first, ending = await opened(harness, port)
+        second, _ = await opened(harness, port)
+        (offer,) = [
+            message for message in await harness.messages(Offer) if message.caller.connection is ending
+        ]
         offer.caller.stands(b"answer")
         assert [m.type for m in await read(first, binary.Decoder())] == [binary.ANSWER]
         offer.caller.over(cut=False)
@@ -606,29 +609,29 @@
 
 
 async def test_call_is_given_up_when_its_connection_ends_with_the_answer_in_flight() -> None:
-    callers_server = CallerServer()
+    harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
-        _sock, ending = await opened(callers_server, port)
-        (offer,) = await callers_server.messages(Offer)
+        port = await tasks.start(harness.run)
+        _sock, ending = await opened(harness, port)
+        (offer,) = await harness.messages(Offer)
         offer.caller.stands(b"answer")
         ending.scope.cancel()
-        await wait_for(lambda: ending not in callers_server.connections())
-        (gone,) = await callers_server.messages(CallerGone)
+        await wait_for(lambda: ending not in harness.connections())
+        (gone,) = await harness.messages(CallerGone)
         assert (gone.call, gone.caller) == (offer.call, offer.caller) and offer.caller.gone
         tasks.cancel_scope.cancel()
 
 
 async def test_connection_with_an_answer_in_flight_is_not_evicted() -> None:
-    callers_server = CallerServer()
+    harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
-        sock, busy = await opened(callers_server, port)
-        (offer,) = await callers_server.messages(Offer)
+        port = await tasks.start(harness.run)
+        sock, busy = await opened(harness, port)
+        (offer,) = await harness.messages(Offer)
         offer.caller.refused(0.1)
         busy.outbox.take()  # as the writer does, before it sends the bytes
-        assert not busy.nothing_pending and not callers_server.callers._limits.evict_one()
-        assert callers_server.callers.pending_writes == 1  # a drain waits for it
+        assert not busy.nothing_pending and not harness.callers._limits.evict_one()
+        assert harness.callers.pending_writes == 1  # a drain waits for it
         busy.outbox.put(CallerMessage(b"\1" * 8, b"", "free"))
         sock.close()
         tasks.cancel_scope.cancel()
@@ -636,13 +639,13 @@
 
 async def test_caller_is_marked_as_gone_before_the_core_processes_it() -> None:
     """The inbox is full, so its messages wait; the check before sending must not."""
-    callers_server = CallerServer()
+    harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
-        sock, _ = await opened(callers_server, port)
-        (offer,) = await callers_server.messages(Offer)
-        while len(callers_server.inbox) < DEFAULT_CAPACITY:
-            callers_server.inbox.put_nowait(CallerGone("another"))
+        port = await tasks.start(harness.run)
+        sock, _ = await opened(harness, port)
+        (offer,) = await harness.messages(Offer)
+        while len(harness.inbox) < DEFAULT_CAPACITY:
+            harness.inbox.put_nowait(CallerGone("another"))
         sock.close()
         await wait_for(lambda: offer.caller.gone)
         tasks.cancel_scope.cancel()
@@ -650,11 +653,11 @@
 
 async def test_unread_disconnect_is_processed_before_a_delayed_set_up_is_sent() -> None:
     """The turn of the loop that decided on the set-up took long, and its client disconnected meanwhile."""
-    callers_server, owner = CallerServer(), Owner()
+    harness, owner = CallersHarness(), Owner()
     async with anyio.create_task_group() as tasks:
-        port = await tasks.start(callers_server.run)
-        sock, _ = await opened(callers_server, port)
-        (offer,) = await callers_server.messages(Offer)
+        port = await tasks.start(harness.run)
+        sock, _ = await opened(harness, port)
+        (offer,) = await harness.messages(Offer)
         pool, first = await pool_with_open_set_up(owner, tasks)
         pool._connections[0].open_attempts.clear()  # answered: the connection is free
         late = attempt("0" * 15 + "2")
@@ -669,14 +672,14 @@
 
 
 async def test_full_inbox_is_drained_in_batches_and_in_order() -> None:
-    """Processing all of it at once blocked the loop for most of a second, and nothing that callers sent
-    meanwhile was read."""
+    """Regression: processing all of it at once blocked the loop for most of a second, and nothing that
+    callers sent meanwhile was read."""
     inbox = Inbox()
     for n in range(2 * MAX_BATCH_MESSAGES + 3):
         inbox.put_nowait(CallerGone(str(n)))
-    heard = [await inbox.drain(0) for _ in range(4)]
-    assert [len(batch) for batch in heard] == [MAX_BATCH_MESSAGES, MAX_BATCH_MESSAGES, 3, 0]
-    assert [w.call for batch in heard for w in batch if isinstance(w, CallerGone)] == [
+    batches = [await inbox.drain(0) for _ in range(4)]
+    assert [len(batch) for batch in batches] == [MAX_BATCH_MESSAGES, MAX_BATCH_MESSAGES, 3, 0]
+    assert [message.call for batch in batches for message in batch if isinstance(message, CallerGone)] == [
         str(n) for n in range(2 * MAX_BATCH_MESSAGES + 3)
     ]
 
@@ -731,8 +734,7 @@
 
 
 async def test_set_up_queued_as_its_connection_ends_goes_out_on_the_next() -> None:
-    """As when an idle connection closes: the set-up has not been sent, and nothing speaks against the
-    server."""
+    """As when an idle connection closes: the set-up has not been sent, and the server has not failed."""
     owner = Owner()
     async with anyio.create_task_group() as tasks:
         pool = ConnectionPool(owner, tasks, "s0", owner.address())
@@ -749,13 +751,14 @@
         await wait_for(lambda: owner.counters["servers.invites_written"] == 2)
         fresh = peers.Peer((await anyio.to_thread.run_sync(owner.listener.accept))[0], sip.Decoder())
         assert (await anyio.to_thread.run_sync(peers.invite, fresh)).call == second.call
-        over = [w for w in await owner.inbox.drain(0) if isinstance(w, AttemptOver)]
-        assert [w.attempt for w in over] == [first]
+        over = [message for message in await owner.inbox.drain(0) if isinstance(message, AttemptOver)]
+        assert [message.attempt for message in over] == [first]
         tasks.cancel_scope.cancel()
 
 
 async def test_cancel_in_flight_when_its_connection_ends_is_reported_as_cancelled() -> None:
-    """Without the report, the attempt counted as open until its deadline, and the call made no progress."""
+    """Regression: without the report, the attempt counted as open until its deadline, and the call made no
+    progress."""
     owner = Owner()
     async with anyio.create_task_group() as tasks:
         pool, placed = await pool_with_open_set_up(owner, tasks)
@@ -764,13 +767,15 @@
         assert pool.cancel(placed)
         pool._connections[0].scope.cancel()
         await wait_for(lambda: not pool._connections)
-        over = [w for w in await owner.inbox.drain(0) if isinstance(w, AttemptOver)]
-        assert [(w.attempt, w.outcome) for w in over] == [(placed, i.Outcome.CANCELLED)]
+        over = [message for message in await owner.inbox.drain(0) if isinstance(message, AttemptOver)]
+        assert [(message.attempt, message.outcome) for message in over] == [
+            (placed, interface.Outcome.CANCELLED)
+        ]
         tasks.cancel_scope.cancel()
 
 
 async def test_cancel_that_finds_a_full_queue_closes_the_connection() -> None:
-    """The attempt counted as cancelled while its server still had it: the next attempt would have been a
+    """Regression: the attempt counted as cancelled while its server still had it, and the next attempt was a
     second one of the same call."""
     owner = Owner()
     async with anyio.create_task_group() as tasks:
@@ -781,6 +786,6 @@
         placed.cancel_requested = True
         assert pool.cancel(placed)
         await wait_for(lambda: not pool._connections)
-        over = [w for w in await owner.inbox.drain(0) if isinstance(w, AttemptOver)]
-        assert [(w.attempt, w.outcome) for w in over] == [(placed, i.Outcome.RESET)]
+        over = [message for message in await owner.inbox.drain(0) if isinstance(message, AttemptOver)]
+        assert [(message.attempt, message.outcome) for message in over] == [(placed, interface.Outcome.RESET)]
         tasks.cancel_scope.cancel()
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -1,4 +1,4 @@
-"""Occupancy, throttle, gate, routing and cancelling of the decision module."""
+"""Tests of `harepick/decide.py`: occupancy, throttle, token gate, routing and cancelling."""
 
 from __future__ import annotations
 
@@ -209,7 +209,7 @@
 
 
 def test_diverted_calls_do_not_overload_a_small_server() -> None:
-    """When a hung server was closed, all its traffic went to one of a sixth of its size."""
+    """Regression: when a hung server was closed, all its traffic went to one of a sixth of its size."""
     world = World()
     world.servers(interface.ServerEntry("s0", 0, "ready", 6.0), interface.ServerEntry("s1", 1, "ready", 1.0))
     for number in range(70):
@@ -220,12 +220,12 @@
     before = len(world.sends)
     for _ in range(30):
         world.call(0)
-    spilled = sum(server == "s1" for _, _, server in world.sends[before:])
-    assert 1 <= spilled <= world.controller.servers["s1"].max_gate_rate + 2
+    diverted = sum(server == "s1" for _, _, server in world.sends[before:])
+    assert 1 <= diverted <= world.controller.servers["s1"].max_gate_rate + 2
 
 
 def test_a_lost_set_up_does_not_keep_an_active_server_closed() -> None:
-    """One set-up that was never answered kept a healthy server closed for six seconds."""
+    """Regression: one set-up that was never answered kept a healthy server closed for six seconds."""
     world = two_server_world()
     world.call(0, patience=9.0)
     for _ in range(30):
@@ -242,7 +242,7 @@
 
 
 def test_a_set_up_overtaken_by_a_later_answer_is_cancelled_and_tried_elsewhere() -> None:
-    """A server lost most set-ups and answered the rest: each lost one waited for its deadline."""
+    """Regression: a server lost most set-ups and answered the rest; each lost one waited for its deadline."""
     world = two_server_world()
     lost = world.call(0)
     world.after(0.28)
@@ -271,7 +271,8 @@
 
 
 def test_a_send_uses_one_of_the_reported_free_lines() -> None:
-    """Several calls were sent to the one free line reported; those rejected loaded other servers."""
+    """Regression: several calls were sent to the one free line reported, and the rejected ones loaded other
+    servers."""
     world = two_server_world()
     world.feed(interface.Probed("s0", interface.Outcome.OK, 0.0, {"free": 1}))
     first, second = world.call(0), world.call(0)
@@ -281,7 +282,7 @@
 
 
 def test_a_redial_past_its_aim_yields_where_there_is_load() -> None:
-    """Redials too late to earn their full worth took the capacity of calls that still could."""
+    """Regression: redials past their aim took the capacity of calls that could still stand within theirs."""
     world = two_server_world()
     world.controller.servers["s0"].recovering = True
     for known in world.controller.servers.values():
@@ -296,6 +297,7 @@
     server = world.controller.servers["s0"]
     server.recovering = True
     server.gate.added += 5.0
+    # The call "again" dials the number of "first": a redial.
     for name, dialled, wanted in (("again", 55, "s1"), ("fresh", 77, "s0")):
         world.deadline[name] = world.now + 3.0
         world.feed(interface.CallArrived(name, 0, world.now + 3.0, "low", number=dialled))
@@ -303,7 +305,7 @@
 
 
 def test_the_end_of_a_call_counts_as_activity_of_a_server_without_reports() -> None:
-    """Without reports, one lost set-up kept a server closed although calls ended there."""
+    """Regression: without reports, one lost set-up kept a server closed although calls ended there."""
     world = two_server_world()
     old = [world.call(0) for _ in range(12)]
     for name in old:
@@ -319,8 +321,8 @@
 
 
 def test_a_server_that_answers_errors_is_neither_closed_nor_preferred() -> None:
-    """A server answered eight of ten set-ups with an error. Closing it left all calls to a server too small
-    for them, and six of ten were refused; repeated at the failing server, most of them stand."""
+    """Regression: a server that answered eight of ten set-ups with an error was closed. All calls went to a
+    server too small for them, and six of ten were refused; repeated at the failing server, most stand."""
     world = World()
     world.servers(*entries(0, 1))
     world.history()
@@ -350,8 +352,8 @@
 
 
 def test_calls_go_to_the_successor_of_a_server_before_it_drains() -> None:
-    """In a release the new server is listed a second or more before the old one drains. Calls that were set
-    up at the old one in between were cut when it stopped: a tenth of a day's calls."""
+    """Regression: calls set up at a server that was about to be replaced were cut when it stopped, a tenth of
+    a day's calls. A new version's server is listed a second or more before the old one drains."""
     world = World()
     world.servers(*entries(0, 1))
     world.history()
@@ -370,8 +372,9 @@
 
 
 def test_the_start_up_average_is_counted_in_intervals_whatever_the_aims() -> None:
-    """A start-up time of three seconds is eight intervals with aims of 1.5 s. With aims of 0.4 s an instance
-    underestimated its own traffic until long after its start, and a server closed once kept recovering."""
+    """Regression: a start-up time of three seconds, eight intervals with aims of 1.5 s, held for all aims.
+    With aims of 0.4 s an instance underestimated its own traffic until long after its start, and a server
+    that had been closed once kept recovering."""
     short_aim = interface.CallClass("low", aim=0.4, give_up=3.0, worth=1.0)
     world = World(settings(classes=(short_aim,)))
     world.servers(*entries(0))
