--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -238,7 +238,7 @@
             self._counters.add("answers.ending")
             offer.caller.refused(self._retry_advice(self._settings.release_guard))
             return []
-        if existing is not None:  # the open call keeps its id
+        if existing is not None:  # the id belongs to the open call
             self._counters.add("calls.clashes")
             offer.caller.duplicate_id()
             return []
--- a/harepick/core/inbox.py
+++ b/harepick/core/inbox.py
@@ -10,8 +10,8 @@
 from harepick.core.messages import Message
 
 DEFAULT_CAPACITY = 8_192  # messages that may wait
-# Handling a batch blocks the event loop, and nothing is read from callers and the bus
-# meanwhile: at 0.1 ms a message a full batch takes about 25 ms.
+# Handling a batch blocks the event loop, and nothing is read from callers and the bus meanwhile: at 0.1 ms a
+# message a full batch takes about 25 ms.
 MAX_BATCH_MESSAGES = 256
 
 
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -285,9 +285,9 @@
         """Replaces classes and rules for calls that arrive from now on; the state of the servers stays.
 
         A dropped class is kept for one more reload: its callers may still be using it."""
-        before = {item.name: item for item in self.settings.classes} if self.classes else {}
+        previous = {item.name: item for item in self.settings.classes} if self.classes else {}
         self.settings = settings
-        self.classes = {**before, **{item.name: item for item in settings.classes}}
+        self.classes = {**previous, **{item.name: item for item in settings.classes}}
         self.shortest_aim = min(item.aim for item in settings.classes)
         self.closing_wait = CLOSING_WAIT_SHARE * self.shortest_aim
         self.interval = self.shortest_aim / INTERVALS_PER_AIM
--- a/harepick/net/binary.py
+++ b/harepick/net/binary.py
@@ -72,23 +72,23 @@
 def _parse_message(data: bytes) -> Message:
     _, kind, call = HEADER.unpack_from(data)
     parameters = {}
-    at = HEADER.size
-    while at < len(data):
-        if at + PARAMETER.size > len(data):
+    position = HEADER.size
+    while position < len(data):
+        if position + PARAMETER.size > len(data):
             raise BinaryError("parameter header is truncated")
-        code, length = PARAMETER.unpack_from(data, at)
-        at += PARAMETER.size
-        if at + length > len(data):
+        code, length = PARAMETER.unpack_from(data, position)
+        position += PARAMETER.size
+        if position + length > len(data):
             raise BinaryError(f"parameter {code} is truncated")
-        parameters[code] = data[at : at + length]
-        at += length
+        parameters[code] = data[position : position + length]
+        position += length
     return Message(kind, call, parameters)
 
 
 def parse_attributes(value: bytes) -> dict[str, str]:
     """Parses `dest:2;width:1;via:-1` into a dict of texts; parts without a colon are left out."""
     pairs = (part.partition(":") for part in value.decode("ascii", "replace").split(";"))
-    return {name.strip(): text.strip() for name, mark, text in pairs if mark}
+    return {name.strip(): text.strip() for name, separator, text in pairs if separator}
 
 
 def encode_answer(call: bytes, description: bytes) -> bytes:
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -78,8 +78,8 @@
         self._screen: GapScreen | None = None  # number gapping; None until gaps are configured
         self._servers: Servers | None = None
         self._serving = False  # what the `ops` listener reports as readiness
-        # The shortest since the start: it is not specified which settings determine the time of SIGKILL
-        # after a reload.
+        # The longest deadline of the classes; after a reload the smaller of the old and the new value, as it
+        # is not specified which settings then determine the time of SIGKILL.
         self._longest_deadline = _longest_deadline(config.settings)
         try:
             self._initial_list = self._directory.load(config.known)
--- a/harepick/net/sip.py
+++ b/harepick/net/sip.py
@@ -15,11 +15,8 @@
     rb"SIP(/(2(\.(0( .*)?)?)?)?)?|[A-Z]{1,12}( (s(i(p(:.*)?)?)?)?)?|\r", re.DOTALL
 )
 DIGITS = re.compile(rb"\d{1,9}")
-SINGLE_VALUE_HEADERS = (
-    b"content-length",
-    b"call-id",
-    b"cseq",
-)  # two different values make the message malformed
+# Two different values of one of these make the message malformed.
+SINGLE_VALUE_HEADERS = (b"content-length", b"call-id", b"cseq")
 
 
 class SipError(ValueError):
@@ -100,8 +97,8 @@
 def _check_body_end(body: bytes, rest: bytearray) -> None:
     """Raises `SipError` if the Content-Length was too small.
 
-    The start of the body would otherwise be taken for the whole of it and passed on as an answer that no
-    server gave. What follows a message must be able to begin one; a line end that the body lacks belongs
+    Otherwise the start of the body would be passed on as an answer that no server gave. The bytes after a
+    message must be able to begin another one; if they start with a line end that the body lacks, it belongs
     to the body."""
     cut = rest.startswith(b"\r\n") and body and not body.endswith(b"\r\n")
     start = 0
@@ -123,8 +120,8 @@
     first, *lines = data.split(b"\r\n")
     headers: dict[bytes, bytes] = {}
     for line in lines:
-        name, mark, value = line.partition(b":")
-        if not mark:
+        name, separator, value = line.partition(b":")
+        if not separator:
             raise SipError(f"invalid header line {line[:40]!r}")
         name, value = name.strip().lower(), value.strip()
         if headers.setdefault(name, value) != value and name in SINGLE_VALUE_HEADERS:
--- a/harepick/net/steering.py
+++ b/harepick/net/steering.py
@@ -10,10 +10,8 @@
 import socket
 import struct
 
-ATTACH_CBPF, DETACH_BPF = (
-    51,
-    68,
-)  # SO_ATTACH_REUSEPORT_CBPF, SO_DETACH_REUSEPORT_BPF; the socket module lacks them
+# SO_ATTACH_REUSEPORT_CBPF and SO_DETACH_REUSEPORT_BPF; the socket module lacks them.
+ATTACH_CBPF, DETACH_BPF = 51, 68
 BPF_RETURN = 0x06  # BPF_RET | BPF_K
 # Sockets of a group are numbered by age; with an unused index the kernel chooses as usual.
 SUCCESSOR_INDEX = 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -227,9 +227,8 @@
         bus_sends(bus, peers.event(3, drain), peers.event(4, late), peers.event(6, late))
         bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 4\n"
-        bus_sends(
-            bus, peers.event(6, late)
-        )  # there is no fifth event: what is missing at the start of a watch does not exist
+        # There is no fifth event: what is missing at the start of a watch does not exist.
+        bus_sends(bus, peers.event(6, late))
         bus_sends(bus, peers.event(9, peers.row("s1", platform.servers[1].address, 1), late, reset=True))
         peers.until(lambda: len(running.events("list")) == 5, why="the whole list, which skips nothing")
         assert [e["offset"] for e in running.events("list")] == [2, 3, 4, 6, 9]
@@ -338,9 +337,8 @@
         first = caller.call()
         server = platform.servers[0].accept()
         invite = peers.invite(server)
-        assert (
-            caller.final_answer(caller.call()).parameters[binary.CAUSE] == b"\x2a"
-        )  # the new limit is one open call
+        # The new limit is one open call.
+        assert caller.final_answer(caller.call()).parameters[binary.CAUSE] == b"\x2a"
         peers.reply(server, invite, 200, b"answer")
         assert caller.final_answer(first).type == binary.ANSWER
         caller.send_request(binary.RELEASE, first, 16)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -287,10 +287,10 @@
     world.controller.servers["s0"].recovering = True
     for known in world.controller.servers.values():
         known.gate.added += 5.0
-    late = world.now + 3.0
+    deadline = world.now + 3.0
     for name, dialled in (("first", 55), ("other", 66)):
-        world.deadline[name] = late
-        world.feed(interface.CallArrived(name, 0, late, "low", number=dialled))
+        world.deadline[name] = deadline
+        world.feed(interface.CallArrived(name, 0, deadline, "low", number=dialled))
         assert world.sent_to(name) == "s0"
         world.end(name, interface.Outcome.ERROR, cause=4)
     world.after(1.3)
@@ -384,4 +384,4 @@
         if world.sent_to(name):
             world.stand(name)
         world.after(0.015)
-    assert 25.0 < world.controller.arrival_rate < 45.0  # of the 40 a second that came
+    assert 25.0 < world.controller.arrival_rate < 45.0  # one call in 0.025 s: 40 a second
