--- a/harepick/fleet/health.py
+++ b/harepick/fleet/health.py
@@ -35,23 +35,29 @@
         self._avoided_since: dict[str, float] = {}
 
     def update(self, avoided: frozenset[str], now: float) -> None:
-        """`avoided`: by overload control alone, not because of orders, verdicts or the configuration."""
+        """Records the servers avoided now.
+
+        `avoided`: by overload control alone, not because of orders, verdicts or the configuration.
+        """
         self._avoided_since = {name: self._avoided_since.get(name, now) for name in sorted(avoided)}
 
     def durations(self, now: float) -> dict[str, float]:
         """Seconds for which each avoided server has been avoided, the longest first."""
-        rows = sorted(self._avoided_since.items(), key=lambda row: row[1])
-        return {name: now - avoided_since for name, avoided_since in rows}
+        longest_first = sorted(self._avoided_since.items(), key=lambda item: item[1])
+        return {name: now - avoided_since for name, avoided_since in longest_first}
+
+    def report(self, now: float) -> dict[str, float]:
+        """The report to the leader: report key -> seconds, of the servers avoided for longest.
 
-    def rows(self, now: float) -> dict[str, float]:
-        """The report to the leader."""
+        It holds at most `MAX_REPORTED_SERVERS`.
+        """
         return {
             SERVER_KEY_PREFIX + name: duration
             for name, duration in list(self.durations(now).items())[:MAX_REPORTED_SERVERS]
         }
 
 
-def health(
+def fleet_health(
     reports: Mapping[str, Mapping[str, float]],
     live: frozenset[str],
     failed_after: float,
@@ -60,19 +66,21 @@
 ) -> Health:
     """Combines the recent reports of the instances.
 
-    `reports`: by instance, server key and seconds avoided. `live`: instances whose reports count.
+    `reports`: instance -> its report (`AvoidanceTracker.report`). `live`: instances whose reports count.
     `failed_after`: seconds of avoidance until a server counts as failed. `failed`, `overloaded`: servers
     under a verdict of that kind.
     """
     confirmations: dict[str, int] = {}
     avoided = set(overloaded)
-    for name, rows in reports.items():
-        if name not in live:
+    for instance, report in reports.items():
+        if instance not in live:
             continue
-        for key, duration in rows.items():
+        for key, duration in report.items():
             if key[:1] == SERVER_KEY_PREFIX:
                 avoided.add(key[1:])
                 confirmations[key[1:]] = confirmations.get(key[1:], 0) + (duration >= failed_after)
     required_confirmations = max(1, min(MIN_CONFIRMING_INSTANCES, len(live)))
-    found = failed | {server for server, count in confirmations.items() if count >= required_confirmations}
-    return Health(found, frozenset(avoided) - found)
+    failed_servers = failed | {
+        server for server, count in confirmations.items() if count >= required_confirmations
+    }
+    return Health(failed_servers, frozenset(avoided) - failed_servers)
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -1,7 +1,8 @@
 """The manager of limits and verdicts on one instance.
 
-While this instance leads, it proposes splits of the limits, releases owed shares and lifts expired verdicts.
-On every instance it reports demand to the leader and, if configured, issues verdicts on failed servers.
+While this instance leads, it proposes splits of the limits, frees shares that instances have lost but may
+still be using (`owed`, see `shares.py`), and lifts expired verdicts. On every instance it reports demand to
+the leader and, if configured, issues verdicts on failed servers.
 """
 
 from __future__ import annotations
@@ -66,18 +67,19 @@
         self._name = replica.settings.replica
         self._avoidance = AvoidanceTracker()
         self._last_verdict_at: dict[str, float] = {}  # server -> time of the last verdict on it
-        self._first_seen: dict[tuple[int, int], float] = {}  # by verdict and version, while leading
-        self._confirmed_since: dict[tuple[str, int], float] = {}  # by limit and log index
+        self._first_seen: dict[tuple[int, int], float] = {}  # (verdict, version) -> time; only while leading
+        # (limit, log index of its last reduction) -> time when that was first seen confirmed by all instances
+        self._confirmed_since: dict[tuple[str, int], float] = {}
         self._auto_gaps = AutoGaps()
         self.detector: Detector | None = None  # set while automatic gaps are enabled
 
     async def run(self) -> None:
         """Runs until cancelled."""
         while True:
-            self._judge_servers()
+            self._issue_failure_verdicts()
             now = clock()
             self._replica.node.demand = (
-                self._buckets.demands(now) | self._number_rates() | self._avoidance.rows(now)
+                self._buckets.demands(now) | self._number_rates() | self._avoidance.report(now)
             )
             await self._evaluate()
             await anyio.sleep(MIN_PAUSE_S)
@@ -99,12 +101,12 @@
             live=live & members - state_machine.orders.given_up(),
             demands=self._replica.demands(),
             unconfirmed_by=unconfirmed_by,
-            whole_numbers=frozenset(limit.id for limit in inputs.limits if limit.server),
+            concurrency_limits=frozenset(limit.id for limit in inputs.limits if limit.server),
             calls_ended=lambda limit, index: self._calls_ended(limit, index, inputs),
         )
         limits = {limit.id: limit.per_s for limit in inputs.limits}
-        each = frozenset(limit.id for limit in inputs.limits if limit.each)
-        limit_budgets = budgets(limits, each, state_machine.shares, fleet_state.demands)
+        per_caller_limits = frozenset(limit.id for limit in inputs.limits if limit.each)
+        limit_budgets = budgets(limits, per_caller_limits, state_machine.shares, fleet_state.demands)
         # Proposed before the splits, of which some may be due at every evaluation.
         expired = self._lift_expired()
         async with anyio.create_task_group() as tasks:
@@ -196,7 +198,7 @@
                 return LiftVerdict(verdict.id, f"{self._name}: its time is over")
         return None
 
-    def _judge_servers(self) -> None:
+    def _issue_failure_verdicts(self) -> None:
         """Issues a verdict on each server that this instance has avoided for `failed_after` seconds."""
         inputs, now = self._inputs(), clock()
         self._avoidance.update(inputs.avoided if inputs else frozenset(), now)
@@ -227,7 +229,7 @@
         state_machine = self._replica.node.state_machine
         inputs = self._inputs()
         demands: Mapping[str, Mapping[str, float]] = self._replica.demands() if self._leads() else {}
-        here = self._buckets.statistics()
+        local_statistics = self._buckets.statistics()
         limits = []
         for limit in inputs.limits if inputs else ():
             allocation = state_machine.shares.get(
@@ -253,7 +255,7 @@
                     "owed": allocation.owed,
                     "free": allocation.free if allocation.budget else limit.per_s,
                     "demand": {name: round(row.get(limit.id, 0.0), 3) for name, row in demands.items()},
-                    "here": here.get(limit.id, {}),
+                    "here": local_statistics.get(limit.id, {}),
                 }
             )
         verdicts = [
--- a/harepick/fleet/limits/operator_api.py
+++ b/harepick/fleet/limits/operator_api.py
@@ -1,4 +1,4 @@
-"""Methods of the tools' port for limits and verdicts (`docs/protocol/operators.md`)."""
+"""Methods of the operators' port for limits and verdicts (`docs/protocol/operators.md`)."""
 
 from __future__ import annotations
 
--- a/harepick/fleet/limits/policy.py
+++ b/harepick/fleet/limits/policy.py
@@ -14,7 +14,9 @@
 from harepick.fleet.limits.shares import MAX_LIMITS, LimitAllocation, LimitCommand, ReleaseOwed, Shares, Split
 
 ALL_CALLERS = "*"  # in place of a caller's address: the base share that applies to every caller
-BASE_SHARE = 0.25  # part of a limit for each caller that every caller gets; the rest is allocated by name
+# Part of a per-caller limit that every caller gets on all instances together; the rest is allocated to the
+# callers with the highest demand, as named shares.
+BASE_SHARE = 0.25
 MAX_NAMED = 32  # callers of one limit that may hold named shares at once
 HOLDER_PREFERENCE = 1.25  # weight of callers that hold a named share, so that similar ones do not alternate
 RESERVE = 0.1  # part of a budget that is split evenly over the live instances
@@ -30,12 +32,12 @@
 
     name: str  # the leader
     revision: int  # of the configuration
-    live: frozenset[str]
+    live: frozenset[str]  # members that may hold a lease and still take calls
     demands: Mapping[str, Mapping[str, float]]  # instance -> limit -> offered calls per second
     unconfirmed_by: Callable[[int], list[str]]
-    whole_numbers: frozenset[str] = frozenset()  # limits on concurrent calls: shares are whole numbers
+    concurrency_limits: frozenset[str] = frozenset()  # their shares are whole numbers
     calls_ended: Callable[[str, int], bool] = lambda limit, index: True
-    """Whether calls that began before that entry have ended; always true for a rate."""
+    """Whether a limit's calls that began before log entry `index` have ended; always true for a rate."""
 
 
 def whole_targets(budget: float, live: frozenset[str], demand: Mapping[str, float]) -> dict[str, float]:
@@ -75,19 +77,25 @@
 
 def budgets(
     limits: Mapping[str, float],
-    each: frozenset[str],
+    per_caller_limits: frozenset[str],
     shares: Shares,
     demands: Mapping[str, Mapping[str, float]],
 ) -> dict[str, float]:
-    """The budgets to be split, by key, in tokens per second.
+    """The budgets to be split, by key, in calls per second or concurrent calls.
 
-    A limit that applies to each caller (`each`) yields the base share of all callers, and the rest of the
-    limit for each of the callers with the highest demand.
+    A limit of `per_caller_limits` applies to each caller. It yields the base share of all callers, and the
+    rest of the limit for each of the callers with the highest demand.
     """
-    split_budgets = {name: budget for name, budget in limits.items() if name not in each}
-    split_budgets |= {caller_limit_key(name, ALL_CALLERS): BASE_SHARE * limits[name] for name in each}
-    max_named = min(MAX_NAMED, max(0, MAX_LIMITS - len(split_budgets)) // len(each)) if each else 0
-    for name in sorted(each):
+    split_budgets = {name: budget for name, budget in limits.items() if name not in per_caller_limits}
+    split_budgets |= {
+        caller_limit_key(name, ALL_CALLERS): BASE_SHARE * limits[name] for name in per_caller_limits
+    }
+    max_named = (
+        min(MAX_NAMED, max(0, MAX_LIMITS - len(split_budgets)) // len(per_caller_limits))
+        if per_caller_limits
+        else 0
+    )
+    for name in sorted(per_caller_limits):
         demand_by_key: dict[str, float] = {}
         for rows in demands.values():
             for key, rate in rows.items():
@@ -151,9 +159,10 @@
 ) -> dict[str, float]:
     """The shares of a limit that may be allocated now."""
     demand = {name: row.get(limit, 0.0) for name, row in fleet_state.demands.items()}
-    if limit in fleet_state.whole_numbers:
+    if limit in fleet_state.concurrency_limits:
         return _next_whole_shares(allocation, budget, whole_targets(budget, fleet_state.live, demand))
-    # No reserve for a named share: the caller's demand shows on every instance through the base share.
+    # A named share needs no reserve: through the base share, every instance can admit calls of the caller and
+    # report their demand.
     reserve = 0.0 if "@" in limit else RESERVE
     return _next_rate_shares(allocation, budget, targets(budget, fleet_state.live, demand, reserve))
 
--- a/harepick/fleet/maintenance/handover.py
+++ b/harepick/fleet/maintenance/handover.py
@@ -14,7 +14,7 @@
 
 
 class Handover:
-    """The hand-over of this process's controller: `follow` takes its order, `stage` returns the stage."""
+    """The handover of this process's controller: `follow` takes its order, `stage` returns the stage."""
 
     def __init__(self) -> None:
         self._order: Order | None = None
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -15,9 +15,9 @@
 import anyio
 
 from harepick.counters import Counters
-from harepick.fleet.health import health
+from harepick.fleet.health import fleet_health
 from harepick.fleet.maintenance.orders import CONTROLLER, AdvanceOrder, Order, Orders, ReportIdle
-from harepick.fleet.maintenance.policy import FleetState, MaintenanceSettings, decide, why
+from harepick.fleet.maintenance.policy import FleetState, MaintenanceSettings, decide, waiting_reason
 from harepick.log import Log
 from harepick.store.raft.core import BadChangeError, BusyError, NotLeaderError
 from harepick.store.replica import Replica, StoreUnavailableError
@@ -65,7 +65,9 @@
         live, unconfirmed_by = leases
         voters = self._replica.node.raft.membership.voters
         demands = self._replica.demands()
-        server_health = health(demands, live, inputs.settings.failed_after, inputs.failed, inputs.overloaded)
+        server_health = fleet_health(
+            demands, live, inputs.settings.failed_after, inputs.failed, inputs.overloaded
+        )
         return FleetState(
             name=self._name,
             now=time.time(),
@@ -130,7 +132,9 @@
         """An order as shown to operators; `why` is None unless this instance leads."""
         inputs = self._inputs()
         waiting_for = (
-            why(order, self.orders, inputs.settings, fleet_state) if fleet_state and inputs else None
+            waiting_reason(order, self.orders, inputs.settings, fleet_state)
+            if fleet_state and inputs
+            else None
         )
         return {
             "order": order.id,
--- a/harepick/fleet/maintenance/operator_api.py
+++ b/harepick/fleet/maintenance/operator_api.py
@@ -1,4 +1,4 @@
-"""Methods of the tools' port for maintenance orders (`docs/protocol/operators.md`)."""
+"""Methods of the operators' port for maintenance orders (`docs/protocol/operators.md`)."""
 
 from __future__ import annotations
 
--- a/harepick/fleet/maintenance/orders.py
+++ b/harepick/fleet/maintenance/orders.py
@@ -11,10 +11,11 @@
 
 SERVER, CONTROLLER = "server", "controller"
 OPEN_STATES = ("waiting", "leaving", "out")
+# Transitions by an `AdvanceOrder`; `FinishOrder` and `CancelOrder` end an order.
 NEXT_STATE = {
     "waiting": "leaving",
     "leaving": "out",
-}  # by an `AdvanceOrder`; `FinishOrder` and `CancelOrder` end an order
+}
 CONTROLLER_STATES = ("joining", "serving", "gone")
 MAX_OPEN_ORDERS = 256  # open orders at once
 MAX_ENDED_ORDERS = 256  # ended orders kept for operators to look up
@@ -127,7 +128,7 @@
 
     def __init__(self, state: OrdersState | None = None) -> None:
         state = state or OrdersState()
-        self.version, self._last = state.version, state.last
+        self.version, self._last_id = state.version, state.last
         self._open = {order.id: order for order in state.open}
         self._ended = list(state.ended)
         self.controller_states = dict(state.seats)
@@ -136,7 +137,7 @@
         """The state for a snapshot."""
         return OrdersState(
             self.version,
-            self._last,
+            self._last_id,
             list(self._open.values()),
             list(self._ended),
             dict(self.controller_states),
@@ -223,10 +224,10 @@
             raise RefusedOrderError(f"{MAX_OPEN_ORDERS} orders are open: end some first")
         if not request.opens < request.closes:
             raise RefusedOrderError("the window closes before it opens")
-        self._last += 1
+        self._last_id += 1
         self.version += 1
         order = Order(
-            id=self._last,
+            id=self._last_id,
             kind=request.kind,
             machine=request.machine,
             reason=request.reason[:MAX_TEXT_LENGTH],
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -1,8 +1,8 @@
 """The maintenance policy: which order advances next, and why an order waits. Pure.
 
 From the orders, the settings and the state of the fleet it derives one command. The leader evaluates it; the
-command takes effect only if the orders and the configuration have not changed since. The policy is described
-in `docs/design/maintenance.md`.
+command takes effect only if the orders and the configuration have not changed since. An order is waiting,
+then leaving, then out, until it ends. The policy is described in `docs/design/maintenance.md`.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldReason:
-    """Why an order waits. `affects_others`: orders behind it wait for the same, and do not overtake it."""
+    """Why an order waits. `affects_others`: those behind it must wait too, instead of overtaking it."""
 
     why: str
     affects_others: bool = False
@@ -94,13 +94,14 @@
         return HoldReason(f"{server} is not among the servers that the configuration has ready")
     if len(excluded) >= settings.max_out:
         return HoldReason(
-            f"{_name_list(excluded)} out or leaving, and max_out is {settings.max_out}", affects_others=True
+            f"{_names_with_verb(excluded)} out or leaving, and max_out is {settings.max_out}",
+            affects_others=True,
         )
     if server in fleet_state.failed:
         return None  # it provides no capacity, so taking it out loses none
     serving = fleet_state.servers - excluded - fleet_state.failed - fleet_state.avoided - {server}
-    absent = fleet_state.failed | fleet_state.avoided - {server}
-    absent_note = f" ({_name_list(absent)} failed or avoided)" if absent else ""
+    not_serving = fleet_state.failed | fleet_state.avoided - {server}
+    absent_note = f" ({_names_with_verb(not_serving)} failed or avoided)" if not_serving else ""
     for group in (Group("all servers", fleet_state.servers), *settings.groups):
         if server in group.servers and not group.servers & serving:
             return HoldReason(f"it is the last server in service of {group.name}{absent_note}")
@@ -121,7 +122,7 @@
         return HoldReason(f"{name} is no member")
     if len(excluded) >= settings.max_out_controllers:
         why = (
-            f"{_name_list(excluded)} out or leaving, "
+            f"{_names_with_verb(excluded)} out or leaving, "
             f"and max_out_controllers is {settings.max_out_controllers}"
         )
         return HoldReason(why, affects_others=True)
@@ -135,12 +136,14 @@
     return None
 
 
-def _name_list(names: frozenset[str]) -> str:
-    """The names with the verb that agrees with them."""
+def _names_with_verb(names: frozenset[str]) -> str:
+    """The sorted names followed by "is" or "are"."""
     return f"{', '.join(sorted(names))} {'is' if len(names) == 1 else 'are'}"
 
 
-def why(order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState) -> str:
+def waiting_reason(
+    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+) -> str:
     """Why an order does not advance; empty if nothing holds it back."""
     if order.state == "waiting":
         if reason := hold_reason(order, orders, settings, fleet_state):
@@ -174,8 +177,8 @@
     """Possible advances, in order of preference; only one may be proposed, as each assumes `orders`."""
     for order in orders.open:
         if order.state == "leaving" and not _leaving_hold_reason(order, fleet_state):
-            gone = tuple(name for name in fleet_state.controllers if name not in fleet_state.live)
-            yield _advance(order, "out", orders, fleet_state, gone)
+            without_lease = tuple(name for name in fleet_state.controllers if name not in fleet_state.live)
+            yield _advance(order, "out", orders, fleet_state, without_lease)
     for kind in (SERVER, CONTROLLER):
         for order in queue(orders, kind):
             reason = hold_reason(order, orders, settings, fleet_state)
@@ -187,10 +190,10 @@
 
 
 def _advance(
-    order: Order, to: str, orders: Orders, fleet_state: FleetState, gone: tuple[str, ...] = ()
+    order: Order, to: str, orders: Orders, fleet_state: FleetState, without_lease: tuple[str, ...] = ()
 ) -> AdvanceOrder:
     return AdvanceOrder(
-        order.id, to, orders.version, fleet_state.revision, fleet_state.name, fleet_state.now, gone
+        order.id, to, orders.version, fleet_state.revision, fleet_state.name, fleet_state.now, without_lease
     )
 
 
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -46,7 +46,7 @@
     membership_committed: bool  # no change of the members is in progress
     members: Mapping[str, Member]
     without_lease: Mapping[str, float]  # member without a lease -> seconds, by the leader's clock
-    rejoining: frozenset[str]  # non-members that recently tried to connect, with their old data folder
+    rejoining: frozenset[str]  # non-members that recently tried to connect and kept their folder
     in_maintenance: frozenset[str]  # under a maintenance order: they are expected to return
 
     @property
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Remove:
-    """Removes a member from the store."""
+    """Step: remove a member from the store."""
 
     instance: str
 
 
 @dataclass(frozen=True, slots=True)
 class Add:
-    """Adds an instance to the store as a learner, which Raft promotes to a voter."""
+    """Step: add an instance to the store as a learner, which Raft promotes to a voter."""
 
     instance: str
     address: str
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -8,7 +8,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from harepick.fleet.health import MAX_REPORTED_SERVERS, MIN_CONFIRMING_INSTANCES, AvoidanceTracker, health
+from harepick.fleet.health import (
+    MAX_REPORTED_SERVERS,
+    MIN_CONFIRMING_INSTANCES,
+    AvoidanceTracker,
+    fleet_health,
+)
 from harepick.store.leases import LEASE_S
 from harepick.store.node import Demand, Node
 from harepick.store.raft.messages import HardState, Member, Membership, Snapshot
@@ -27,22 +32,22 @@
     tracker.update(frozenset({"s0", "s1"}), 12.0)
     assert tracker.durations(13.0) == {"s0": 3.0, "s1": 1.0} and list(tracker.durations(13.0)) == ["s0", "s1"]
     tracker.update(frozenset(f"s{n}" for n in range(200)), 14.0)
-    assert len(tracker.rows(15.0)) == MAX_REPORTED_SERVERS and tracker.rows(15.0)["!s0"] == 5.0
+    assert len(tracker.report(15.0)) == MAX_REPORTED_SERVERS and tracker.report(15.0)["!s0"] == 5.0
 
 
 def test_a_server_has_failed_once_two_instances_report_it() -> None:
-    assert health(reports(a={"s0": 9.0}), LIVE, 2.0).avoided == {"s0"}
-    found = health(reports(a={"s0": 9.0, "s1": 9.0}, b={"s0": 2.0, "s1": 1.9}), LIVE, 2.0)
+    assert fleet_health(reports(a={"s0": 9.0}), LIVE, 2.0).avoided == {"s0"}
+    found = fleet_health(reports(a={"s0": 9.0, "s1": 9.0}, b={"s0": 2.0, "s1": 1.9}), LIVE, 2.0)
     assert (found.failed, found.avoided) == (frozenset({"s0"}), frozenset({"s1"}))
-    assert health(reports(a={"s0": 9.0}), frozenset("a"), 2.0).failed == {"s0"}, (
+    assert fleet_health(reports(a={"s0": 9.0}), frozenset("a"), 2.0).failed == {"s0"}, (
         "a single live instance needs no confirmation"
     )
-    without_lease = health(reports(a={"s0": 9.0}, d={"s0": 9.0}), LIVE, 2.0)
+    without_lease = fleet_health(reports(a={"s0": 9.0}, d={"s0": 9.0}), LIVE, 2.0)
     assert not without_lease.failed, "an instance without a lease was counted"
 
 
 def test_a_verdict_needs_no_confirmation_by_reports() -> None:
-    found = health({}, LIVE, 2.0, frozenset({"s0"}), frozenset({"s0", "s1"}))
+    found = fleet_health({}, LIVE, 2.0, frozenset({"s0"}), frozenset({"s0", "s1"}))
     assert (found.failed, found.avoided) == (frozenset({"s0"}), frozenset({"s1"}))
 
 
@@ -58,7 +63,7 @@
 def test_failed_servers_are_those_that_enough_live_instances_report(
     rows: dict[str, dict[str, float]], live: frozenset[str]
 ) -> None:
-    found = health(reports(**rows), live, 2.0)
+    found = fleet_health(reports(**rows), live, 2.0)
     assert not found.failed & found.avoided
     for server in ("s0", "s1"):
         spans = [row[server] for name, row in rows.items() if name in live and server in row]
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance: orders, hand-over, policy and settings, without I/O."""
+"""Maintenance: orders, handover, policy and settings, without I/O."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     controller_state_changes,
     decide,
     hold_reason,
-    why,
+    waiting_reason,
 )
 from harepick.settings import SettingsError, read_store_config
 from harepick.store.state_machine import Envelope, OrderChanged, Put, Refused, StateMachine, encode
@@ -81,7 +81,9 @@
     log.settle(MaintenanceSettings(max_out=2), observed)
     assert [log.state(n) for n in (one, two, three)] == ["out", "out", "waiting"]
     order = log.orders.get(three)
-    assert order and "max_out is 2" in why(order, log.orders, MaintenanceSettings(max_out=2), observed)
+    assert order and "max_out is 2" in waiting_reason(
+        order, log.orders, MaintenanceSettings(max_out=2), observed
+    )
     log.apply(FinishOrder(one))
     assert log.orders.excluded(SERVER) == {"s0"}
     log.settle(MaintenanceSettings(max_out=2), observed)
@@ -96,7 +98,7 @@
     log.settle(policy_settings, observed)
     assert log.state(first) == "out"
     order = log.orders.get(low)
-    assert order and "max_out" in why(order, log.orders, policy_settings, observed)
+    assert order and "max_out" in waiting_reason(order, log.orders, policy_settings, observed)
     log.apply(FinishOrder(first))
     log.settle(policy_settings, observed)
     assert (log.state(low), log.state(high)) == ("waiting", "out")
@@ -111,7 +113,7 @@
     order = log.orders.get(two)
     assert (
         order
-        and why(order, log.orders, policy_settings, observed)
+        and waiting_reason(order, log.orders, policy_settings, observed)
         == "it would leave a capacity of 2, and the floor is 3"
     )
 
@@ -125,7 +127,10 @@
     log.settle(policy_settings, observed)
     assert (log.state(large), log.state(small)) == ("waiting", "waiting")
     order = log.orders.get(small)
-    assert order and why(order, log.orders, policy_settings, observed) == f"order {large} (s0) goes first"
+    assert (
+        order
+        and waiting_reason(order, log.orders, policy_settings, observed) == f"order {large} (s0) goes first"
+    )
 
 
 def test_the_last_server_of_a_group_waits_and_others_overtake_it() -> None:
@@ -135,7 +140,9 @@
     log.settle(policy_settings, observed)
     assert [log.state(n) for n in (one, two, three)] == ["out", "waiting", "out"]
     order = log.orders.get(two)
-    assert order and "last server in service of Kandy" in why(order, log.orders, policy_settings, observed)
+    assert order and "last server in service of Kandy" in waiting_reason(
+        order, log.orders, policy_settings, observed
+    )
     four = log.request("s3")
     log.settle(MaintenanceSettings(max_out=4), observed)  # without the group, the last server of all stays
     assert [log.state(n) for n in (two, four)] == ["out", "waiting"]
@@ -170,7 +177,7 @@
     log.settle(policy_settings, observed)
     assert log.state(last) == "waiting", "the other server of Kandy is avoided"
     order = log.orders.get(last)
-    assert order and "last server in service of Kandy (s0 is failed or avoided)" in why(
+    assert order and "last server in service of Kandy (s0 is failed or avoided)" in waiting_reason(
         order, log.orders, policy_settings, observed
     )
     log.settle(policy_settings, fleet_state())
@@ -186,7 +193,9 @@
     log.settle(policy_settings, fleet_state(now=300.0))
     assert log.state(later) == "waiting"
     order = log.orders.get(later)
-    assert order and "window is over" in why(order, log.orders, policy_settings, fleet_state(now=300.0))
+    assert order and "window is over" in waiting_reason(
+        order, log.orders, policy_settings, fleet_state(now=300.0)
+    )
     log.settle(policy_settings, fleet_state(now=299.0))
     assert log.state(later) == "out"
 
@@ -199,7 +208,7 @@
     assert log.state(number) == "leaving" and log.orders.excluded(SERVER) == {"s0"}
     order = log.orders.get(number)
     assert order
-    assert why(order, log.orders, policy_settings, unconfirmed) == "not confirmed by c"
+    assert waiting_reason(order, log.orders, policy_settings, unconfirmed) == "not confirmed by c"
     queried_entries: list[int] = []
 
     def unconfirmed_by(index: int) -> list[str]:
@@ -221,11 +230,15 @@
     log.settle(policy_settings, fleet_state())
     assert (log.state(b), log.state(c)) == ("leaving", "waiting")
     order = log.orders.get(c)
-    assert order and "a majority is 2" in why(order, log.orders, policy_settings, fleet_state())
+    assert order and "a majority is 2" in waiting_reason(order, log.orders, policy_settings, fleet_state())
     order = log.orders.get(b)
-    assert order and why(order, log.orders, policy_settings, fleet_state()) == "b has calls under way"
+    assert (
+        order and waiting_reason(order, log.orders, policy_settings, fleet_state()) == "b has calls under way"
+    )
     log.apply(ReportIdle(b, "b"))
-    assert "leads" in why(log.orders.get(b) or order, log.orders, policy_settings, fleet_state(name="b"))
+    assert "leads" in waiting_reason(
+        log.orders.get(b) or order, log.orders, policy_settings, fleet_state(name="b")
+    )
     log.settle(policy_settings, fleet_state(name="b"))
     assert log.state(b) == "leaving", "it still leads"
     log.settle(policy_settings, fleet_state())
@@ -249,7 +262,7 @@
     assert stage(0.0) == SERVING, "a waiting order must not start the hand-over"
     log.settle(policy_settings, fleet_state())
     assert stage(1.0) == HANDING_OVER and handover.stage(1.99) == HANDING_OVER
-    log.request("s0")  # an unrelated entry must not restart the hand-over time
+    log.request("s0")  # an unrelated entry must not restart the handover time
     assert stage(1.9) == HANDING_OVER and handover.stage(2.0) == CLOSED
     assert log.orders.given_up() == frozenset()
     log.apply(ReportIdle(b, "b"))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -302,7 +302,7 @@
 
 
 async def wait_for_all_members(runner: ScenarioRunner) -> None:
-    """Waits at the end until all instances are members again, as the tools' port shows it."""
+    """Waits at the end until all instances are members again, as the operators' port shows it."""
     await anyio.sleep(11.5)
     async with runner.client() as client:
         with anyio.move_on_after(15.0):
