--- a/harepick/store/leases.py
+++ b/harepick/store/leases.py
@@ -41,7 +41,10 @@
         return self._last_number
 
     def record_grant(self, number: int, index: int) -> None:
-        """Records the leader's grant for that request; an unknown or repeated number changes nothing."""
+        """Records the leader's grant for request `number`; an unknown or repeated number changes nothing.
+
+        The lease takes effect once the entry `index` is applied here.
+        """
         requested_at = self._requested_at.pop(number, None)
         if requested_at is None:
             return
@@ -49,10 +52,12 @@
         self.record_applied(self._applied)
 
     def record_applied(self, index: int) -> None:
-        """Records that entries up to `index` are applied; grants that needed no more take effect."""
+        """Records that entries up to `index` are applied; grants that required only these take effect."""
         self._applied = max(self._applied, index)
-        effective = [expiry for expiry, needed in self._pending_grants if needed <= self._applied]
-        self._pending_grants = [row for row in self._pending_grants if row[1] > self._applied][
+        effective = [
+            expiry for expiry, required_index in self._pending_grants if required_index <= self._applied
+        ]
+        self._pending_grants = [grant for grant in self._pending_grants if grant[1] > self._applied][
             -MAX_OPEN_REQUESTS:
         ]
         self._expires_at = max([self._expires_at, *effective])
@@ -79,8 +84,8 @@
         """`length` of a lease in seconds."""
         self._expiry_s = length * CLOCK_RATE_MARGIN
         self._earlier_leases_end = float("inf")  # infinite while not leading: nothing is acknowledged
-        self._expires_at: dict[str, float] = {}
-        self._adopted: dict[str, int] = {}
+        self._expires_at: dict[str, float] = {}  # instance -> time
+        self._adopted: dict[str, int] = {}  # instance -> log index
 
     def become_leader(self, now: float) -> None:
         """Starts to lead; leases granted by earlier leaders are unknown, so all have to expire first."""
@@ -107,7 +112,8 @@
     def waits_for(self, index: int, now: float) -> list[str]:
         """The instances that may still act on something older than `index`.
 
-        A change at `index` may be acknowledged once the list is empty.
+        A change at `index` may be acknowledged once the list is empty. While leases of an earlier leader may
+        be running, whose holders are unknown, the list has a text in place of their names.
         """
         for name in [each for each, expiry in self._expires_at.items() if expiry <= now]:
             del self._expires_at[name]
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -43,14 +43,14 @@
 
 
 class LeaseGrant(Struct, frozen=True, tag="g", array_like=True):
-    """The leader grants the lease of that request."""
+    """The leader grants the lease that was requested under `number`."""
 
     number: int
-    index: int  # must be applied before the lease takes effect
+    index: int  # of the log entry up to which the instance must apply before the lease takes effect
 
 
 class Adopted(Struct, frozen=True, tag="d", array_like=True):
-    """The sender no longer acts on anything older than this index."""
+    """The sender no longer acts on any state older than the log entry `index`."""
 
     index: int
 
@@ -77,7 +77,7 @@
     """
 
 
-Waiter = object
+Waiter = object  # the host's handle for delivering an answer; the node only hands it back
 Answer = Result | LeadershipLost | int  # int: the index of a confirmed read or of a membership change
 
 
@@ -139,10 +139,12 @@
     ) -> None:
         """Starts from what is durable: the hard state, the snapshot and the entries after it.
 
-        `adopt` is called when a revision takes effect: when it returns, nothing older may be acted on.
-        `follow` is called in the same way for maintenance orders, shares of limits, and verdicts.
+        `adopt` is called with each new revision, `follow` when maintenance orders, shares of limits or
+        verdicts have changed. Both put the new state into effect: once they return, nothing older may be
+        acted on.
 
-        `lease` is in seconds, `snapshot_every` in entries. Raises `FormatError` for another version's state.
+        `lease` is the length of a lease in seconds, `snapshot_every` is in entries.
+        Raises `FormatError` for another version's state.
         """
         self.name = name
         self.state_machine = StateMachine()
@@ -151,7 +153,7 @@
         self.raft = raft(name, rng, hard_state, snapshot, entries)
         self.lease = Lease(lease, rng.getrandbits(62))
         self.grants = Grants(lease)
-        self.stopped = ""  # the reason, once the replica has stopped
+        self.stopped = ""  # why the replica has stopped; empty while it runs
         self._adopt, self._follow = adopt, follow
         self._revision = 0  # last adopted
         self._followed_versions = (0, 0, 0)  # of the orders, shares and verdicts passed to `follow`
@@ -160,7 +162,8 @@
         self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> time received, demand
         self._snapshot_every = snapshot_every
         self._snapshot_in_progress = False
-        self._changes: dict[int, _PendingChange | _PendingMembership] = {}
+        # log index -> the request that waits for its entry
+        self._pending_by_index: dict[int, _PendingChange | _PendingMembership] = {}
         self._unacknowledged: list[tuple[int, Waiter, Result]] = []  # applied; index to be adopted first
         self._pending_reads: list[tuple[int, _ClientRead]] = []  # confirmed; index to be applied first
         self._leading_term = 0  # the term for which `grants` has started to lead; 0: not leading
@@ -217,10 +220,10 @@
 
         Raises `NotLeaderError` and `BusyError`.
         """
-        if len(self._changes) + len(self._unacknowledged) >= MAX_PENDING_CHANGES:
+        if len(self._pending_by_index) + len(self._unacknowledged) >= MAX_PENDING_CHANGES:
             raise BusyError("too many changes wait")
         index, term = self.raft.propose(encode(envelope))
-        self._changes[index] = _PendingChange(term, waiter)
+        self._pending_by_index[index] = _PendingChange(term, waiter)
 
     def change_nowait(self, envelope: Envelope) -> None:
         """Proposes a command without an answer, or forwards it to the leader; dropped if none is known."""
@@ -243,12 +246,12 @@
     def add(self, name: str, address: str, waiter: Waiter) -> None:
         """Adds a replica as a learner, answered once that is committed; raises as `Raft.add` does."""
         index, _ = self.raft.add(name, address)
-        self._changes[index] = _PendingMembership(waiter)
+        self._pending_by_index[index] = _PendingMembership(waiter)
 
     def remove(self, name: str, waiter: Waiter) -> None:
         """Removes a replica, answered once that is committed; raises as `Raft.remove` does."""
         index, _ = self.raft.remove(name)
-        self._changes[index] = _PendingMembership(waiter)
+        self._pending_by_index[index] = _PendingMembership(waiter)
 
     def stop(self, reason: str) -> None:
         """Stops for good: the replica neither acts nor votes any more."""
@@ -357,11 +360,11 @@
 
     def _fail_pending(self) -> None:
         """Answers all pending changes with `LeadershipLost`."""
-        for change in self._changes.values():
+        for change in self._pending_by_index.values():
             self._answers.append((change.waiter, LeadershipLost()))
         for _, waiter, _ in self._unacknowledged:
             self._answers.append((waiter, LeadershipLost()))
-        self._changes.clear()
+        self._pending_by_index.clear()
         self._unacknowledged.clear()
 
     # Entries
@@ -384,7 +387,7 @@
 
     @property
     def has_unapplied(self) -> bool:
-        """Whether committed entries are left to apply.
+        """Whether committed entries still have to be applied.
 
         `poll` applies a bounded number of them, so that a replica that is catching up keeps on exchanging
         messages.
@@ -401,7 +404,7 @@
             self._after_apply()
 
     def _apply_one(self, entry: Entry) -> None:
-        change = self._changes.pop(entry.index, None)
+        change = self._pending_by_index.pop(entry.index, None)
         if entry.kind != Kind.COMMAND:
             self.state_machine.skip(entry.index)
             if isinstance(change, _PendingMembership):
@@ -417,8 +420,8 @@
         if isinstance(change, _PendingMembership) or change.term != entry.term:
             self._answers.append((change.waiter, LeadershipLost()))
         elif isinstance(result, Done):
-            # The result of a repeated request names its first entry, which has long been adopted. Waiting for
-            # the repeat's own, later index costs nothing more.
+            # A repeated request returns the result of its first entry, which was adopted long before. Waiting
+            # for the later index of the repeat is safe and costs nothing more.
             self._unacknowledged.append((entry.index, change.waiter, result))
         else:
             self._answers.append((change.waiter, result))
@@ -427,7 +430,7 @@
         """Puts a new revision, orders, shares or verdicts into effect, and reports that to the leader."""
         latest, versions = self.state_machine.latest, self.state_machine.versions
         changed = False
-        if versions != self._followed_versions:  # first: a new revision must take effect under them
+        if versions != self._followed_versions:  # first: in force before a new revision is
             self._followed_versions, changed = versions, True
             self._follow(self.state_machine)
         if latest and latest.number != self._revision:
--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -240,9 +240,8 @@
         restored = self._replica.node.state_machine.revision(target)
         if restored is None:
             raise OutcomeError("no_revision", f"revision {target} is not kept")
-        read_store_config(
-            restored.text
-        )  # the version of the program that accepted it may have had other rules
+        # Checked again: the version of the program that accepted it may have had other rules.
+        read_store_config(restored.text)
         body = RollBack(
             target,
             _optional_number(arguments, "expect"),
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -32,7 +32,7 @@
 from harepick.store.transport import Transport
 
 TICK_INTERVAL_S = 0.02
-DEMAND_LIFETIME_S = 2.0  # a reported demand counts for this long
+DEMAND_LIFETIME_S = 2.0  # older demand reports are ignored
 MAX_INBOX = 16_384  # queued inputs; further ones are dropped, like messages lost by a network
 MAX_INPUTS_PER_TURN = 256  # inputs handled between two polls of the node
 MAX_SNAPSHOT_WAITERS = 64  # requests that may wait for a snapshot
@@ -101,7 +101,8 @@
         adopt: Callable[[Revision], None] = lambda revision: None,
         follow: Callable[[StateMachine], None] = lambda machine: None,
     ) -> None:
-        """`adopt` is called with each new revision of the configuration, `follow` after entries were applied.
+        """`adopt` is called with each new revision of the configuration, `follow` when maintenance orders,
+        shares of limits or verdicts have changed.
 
         `adopt` may raise `SettingsError`: the replica then stops.
         """
@@ -114,11 +115,11 @@
         self._disk_jobs: deque[tuple[Callable[[], None], Callable[[], None]]] = deque()  # one at most
         self._disk_job_added = anyio.Event()
         self._writing = False
-        self._snapshot_waiters: list[tuple[int, _Waiter]] = []  # (least index of the snapshot, who waits)
+        self._snapshot_waiters: list[tuple[int, _Waiter]] = []  # (index the snapshot must reach, waiter)
         self._state_changed = anyio.Event()  # set on a new revision, role, membership or applied entry
         self._last_state: tuple[object, ...] = ()
         self._last_members: object = None
-        # Replica that is no member and came with its known folder -> time of its last attempt, by `clock`.
+        # Non-member that tried to connect with its pinned folder -> time of its last attempt, by `clock`.
         self.rejoin_attempts: dict[str, float] = {}
         self._stop_logged = False
         self.identity: Identity
@@ -165,7 +166,7 @@
             )
         except FormatError as error:
             raise StorageError(f"folder {self.settings.folder}: {error}") from None
-        pins = self._storage.pins()
+        pins = self._storage.pins()  # replica -> id of the only folder accepted under its name
         self.transport = Transport(
             self.identity,
             self.settings.listen,
@@ -258,7 +259,7 @@
         if (current, committed) != self._last_members:
             self._last_members = (current, committed)
             addresses = {member.id: member.address for member in (*committed.members, *current.members)}
-            # A replica that knows no members yet must accept a connection from whoever adds it.
+            # A replica that knows no members yet accepts every peer, because one of them is to add it.
             self.transport.set_members(addresses, lambda name: not addresses or name in addresses)
             self.notify()
         if self.node.stopped and not self._stop_logged:
@@ -308,7 +309,7 @@
         self._enqueue(lambda: self.node.receive(sender, message, clock()))
 
     def _on_rejoin_attempt(self, name: str) -> None:
-        self.rejoin_attempts[name] = clock()  # bounded, like the pins, by the replicas that ever were members
+        self.rejoin_attempts[name] = clock()  # at most one entry per replica that was ever a member
 
     async def _submit(self, work: Callable[[_Waiter], Any], timeout: float) -> Answer:
         """Runs `work` in the task that owns the node and waits up to `timeout` seconds for the answer.
@@ -322,7 +323,7 @@
         def run_work() -> None:
             try:
                 work(waiter)
-            except Exception as error:  # goes to the task that asked; the owning task goes on
+            except Exception as error:  # goes to the task that waits; the task that owns the node continues
                 waiter.set(error)
 
         if not self._enqueue(run_work):
@@ -441,8 +442,8 @@
         return self.node.may_act(clock())
 
     def leases(self) -> tuple[frozenset[str], Callable[[int], list[str]]] | None:
-        """Returns the instances that may act now, and a function from a log index to those that may still act
-        on a state older than that index.
+        """Returns (live, unconfirmed_by): the instances that may act now, and a function that returns those
+        that may still act on a state older than a given log index.
 
         None while this replica does not lead, and for the first 1.1 lease durations after an election: until
         then leases of the previous leader may be running.
@@ -463,7 +464,7 @@
         return self.node.lease.remaining(clock())
 
     def retry_after(self) -> float:
-        """Returns the seconds after which a refused caller may find this instance current."""
+        """Returns the seconds after which a refused caller may try this instance again."""
         return STOPPED_RETRY_S if self.node.stopped else self.settings.lease
 
     def status(self) -> dict[str, Any]:
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -107,7 +107,8 @@
         self._allowed_servers: frozenset[str] = frozenset()
         self._revision = 0
         self._config: EnumSettings | None = None  # of revision `_revision`
-        self._excluded: frozenset[str] = frozenset()  # names of servers leaving or out for maintenance
+        # Names of servers leaving or out for maintenance.
+        self._servers_in_maintenance: frozenset[str] = frozenset()
         self._handover = Handover()  # of this instance's callers, when it goes out for maintenance itself
         self._stage = SERVING
         self._has_served = False  # whether this process has accepted look-ups
@@ -127,11 +128,11 @@
         self.membership = MembershipManager(self.replica, self._membership_settings, counters, log)
         self._auto_gaps: tuple[GapRow, ...] = ()  # set by verdicts
         self._verdict_servers: frozenset[str] = frozenset()  # names of servers under a verdict
-        self._enforced_verdict_servers: frozenset[str] = frozenset()  # of these, those that get no new calls
+        self._enforced_verdict_servers: frozenset[str] = frozenset()  # none if no ready server would be left
         self._verdicts_version = 0  # of the verdicts last applied
         self._verdict_ids: set[int] = set()  # of the verdicts last applied
         self._limited_servers: set[str] = set()  # names of servers with a concurrency limit
-        self._formerly_limited: set[str] = set()  # names of servers whose limit has to be lifted
+        self._formerly_limited_servers: set[str] = set()  # names of servers whose limit has to be lifted
         self._started_at = clock()
         try:
             self.replica.open()
@@ -189,7 +190,7 @@
         self._update_shares()
         if (config.autogap is None) != (self.limits.detector is None):
             self.limits.detector = self.screen.detector = Detector() if config.autogap else None
-        self._formerly_limited |= self._limited_servers - {
+        self._formerly_limited_servers |= self._limited_servers - {
             limit.server for limit in config.limits if limit.server
         }
         self._revision = revision.number
@@ -224,8 +225,8 @@
         )
 
     def _on_applied(self, state_machine: StateMachine) -> None:
-        """Follows applied entries: from here on no new call goes to a server that is in maintenance or under
-        a verdict, and no more calls are admitted than the shares allow.
+        """Puts changed orders, shares and verdicts into effect: from here on no new call goes to a server in
+        maintenance or under a verdict, and no more calls are admitted than the shares allow.
         """
         self._update_shares()
         self._update_concurrency_limits()
@@ -235,7 +236,7 @@
             self._apply_orders(state_machine.orders)
 
     def _apply_verdicts(self, verdicts: Verdicts) -> None:
-        """Follows a changed list of verdicts: excluded servers, automatic gaps and blocked callers."""
+        """Puts changed verdicts into effect: excluded servers, automatic gaps and blocked callers."""
         if self._history:
             for verdict in verdicts.all:
                 if verdict.version > self._verdicts_version:
@@ -260,7 +261,7 @@
         self._refresh_front()
 
     def _apply_orders(self, orders: Orders) -> None:
-        """Follows changed maintenance orders: excluded servers and the handover of this instance."""
+        """Puts changed maintenance orders into effect: excluded servers and the handover of this instance."""
         if self._history:
             for order in (*orders.open, *orders.ended):
                 if order.version > self._orders_version:
@@ -273,7 +274,7 @@
                         index=order.index,
                     )
         self._orders_version = orders.version
-        self._excluded = orders.excluded(SERVER)
+        self._servers_in_maintenance = orders.excluded(SERVER)
         settings = (self._config.maintenance if self._config else None) or MaintenanceSettings()
         own_order = orders.of(CONTROLLER, self.settings.replica)
         self._handover.follow(own_order, clock(), settings.handover, self._has_served)
@@ -298,9 +299,9 @@
             return
         shares, replica = self.replica.node.state_machine.shares, self.settings.replica
         recently_started = clock() - self._started_at < config.deadline * CLOCK_RATE_MARGIN
-        for name in self._formerly_limited:
+        for name in self._formerly_limited_servers:
             self.front.set_concurrency_limit(name, inf)
-        self._formerly_limited = set()
+        self._formerly_limited_servers = set()
         self._limited_servers = {limit.server for limit in config.limits if limit.server}
         for limit in config.limits:
             if limit.server:
@@ -309,20 +310,25 @@
                 )
 
     async def _refresh_concurrency_limits(self) -> None:
-        """Updates the limits regularly, as generations of the core end and the wait after the start ends."""
+        """Updates the limits regularly: they change as calls of earlier generations end, and once the wait
+        after the start is over.
+        """
         while True:
             await anyio.sleep(CONCURRENCY_INTERVAL_S)
             if self._limited_servers:
                 self._update_concurrency_limits()
 
     def _apply_to_front(self, config: EnumSettings) -> None:
-        """Applies the configuration to the front, with excluded servers draining and automatic gaps added."""
-        config = with_draining(config, self._excluded)
+        """Applies the configuration to the front, with excluded servers draining and automatic gaps added.
+
+        Verdicts rest on what controllers observe, so they may never exclude the last ready servers: if they
+        would, none is enforced.
+        """
+        config = with_draining(config, self._servers_in_maintenance)
         without_verdict_servers = with_draining(config, self._verdict_servers)
         self._enforced_verdict_servers = (
             self._verdict_servers if ready_servers(without_verdict_servers) else frozenset()
         )
-        # A verdict rests on what controllers observe, so verdicts may never exclude the last ready servers.
         if self._enforced_verdict_servers:
             config = without_verdict_servers
         self._allowed_servers = ready_servers(config)
@@ -356,7 +362,8 @@
         ready = [
             upstream
             for upstream in config.upstreams
-            if not upstream.draining and upstream.name not in self._excluded | self._verdict_servers
+            if not upstream.draining
+            and upstream.name not in self._servers_in_maintenance | self._verdict_servers
         ]
         return LimitInputs(
             revision=self._revision,
@@ -422,6 +429,7 @@
         async with anyio.create_task_group() as tasks:
             maintenance_api = MaintenanceApi(self.replica, self.maintenance, self._server_names)
             limit_api = LimitApi(self.replica, self.limits, self._server_names)
+            # Registers itself with the transport of the replica.
             OperatorApi(self.replica, self._counters, maintenance_api.methods | limit_api.methods)
             await tasks.start(self.replica.run)
             tasks.start_soon(self.maintenance.run)
@@ -502,13 +510,13 @@
                     if isinstance(answer, Done | Conflict):
                         return
             except (NotLeaderError, BusyError, StoreUnavailableError):
-                pass  # another instance leads and writes its own, or there is no leader yet
+                pass  # retried: no leader yet, another instance leads, or the store is busy
             await anyio.sleep(FIRST_CONFIG_RETRY_S)
 
     # Pool view
 
     def _restore_view(self) -> None:
-        """Hands the stored pool view of this instance to the front as the remembered list."""
+        """Hands the stored pool view of this instance to the front as its initial list of servers."""
         view = self.replica.node.state_machine.views.get(self.settings.replica)
         if view is None:
             return
@@ -542,7 +550,7 @@
         return tuple(rows)
 
     async def _publish_view(self) -> None:
-        """Keeps the stored pool view of this instance up to date, off the path of calls."""
+        """Keeps the stored pool view of this instance up to date, independently of calls."""
         while True:
             await anyio.sleep(VIEW_INTERVAL_S)
             if not self._revision or not self.replica.may_act():
--- a/harepick/store/state_machine.py
+++ b/harepick/store/state_machine.py
@@ -2,7 +2,7 @@
 
 Every replica applies the same entries in the same order and must reach the same state, so nothing here may
 depend on a clock, on randomness or on the replica that applies it. Times (`at`, in seconds) come from the
-proposer and decide nothing.
+proposer and influence no result.
 """
 
 from __future__ import annotations
@@ -336,7 +336,7 @@
 
     @property
     def versions(self) -> tuple[int, int, int]:
-        """Versions of the orders, shares and verdicts, which instances have to follow at once."""
+        """Versions of the orders, shares and verdicts, whose changes instances put into effect at once."""
         return (self.orders.version, self.shares.version, self.verdicts.version)
 
     def _put(self, index: int, text: str, expect: int | None, author: str, note: str, at: float) -> Result:
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -83,11 +83,13 @@
         self._unidentified: list[anyio.CancelScope] = []
         self._incoming: dict[str, anyio.CancelScope] = {}  # peer -> its current connection
         self._tools = 0
-        self._pinning = anyio.Lock()
+        self._pins_lock = anyio.Lock()
         self._tasks: TaskGroup | None = None
         self._is_member: Callable[[str], bool] = lambda name: True
         self._knows_members = False
-        self.on_rejoin_attempt: Callable[[str], None] = lambda name: None  # known folder, not a member
+        self.on_rejoin_attempt: Callable[[str], None] = lambda name: (
+            None
+        )  # a non-member with its pinned folder
         self.serve_tool: ToolHandler | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
@@ -211,7 +213,7 @@
         At first contact the folder is pinned durably. A wiped replica has lost its votes, so one with another
         folder is refused.
         """
-        async with self._pinning:
+        async with self._pins_lock:
             pinned = self._pins.get(name)
             if pinned is None:
                 await self._save_pins({**self._pins, name: folder})
@@ -261,7 +263,7 @@
         self._unidentified.remove(scope)
         frames.max_size = wire.MAX_FRAME
         if hello.role == "tool":
-            with suppress(anyio.EndOfStream, anyio.BrokenResourceError):  # a tool may leave at any time
+            with suppress(anyio.EndOfStream, anyio.BrokenResourceError):  # a tool may disconnect at any time
                 await self._serve_tool(stream, frames)
             return
         if not self._knows_members:  # being added: connect back to this peer until the log names the members
--- a/harepick/store/wire.py
+++ b/harepick/store/wire.py
@@ -125,6 +125,7 @@
         self._decoder = msgspec.msgpack.Decoder(kind)
 
     def read(self, data: bytes) -> Value:
+        """Decodes the contents of one frame; raises `WireError`."""
         try:
             return self._decoder.decode(data)
         except (msgspec.DecodeError, ValueError) as error:
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -98,7 +98,7 @@
             assert key in output, output
             assert key in store.tool("config", "check", write_config(tmp_path, text), code=1)
 
-            async def unchecked(text: str = text, key: str = key) -> None:
+            async def set_without_tool_check(text: str = text, key: str = key) -> None:
                 """The replica rejects it too if the tool does not check it first."""
                 async with StoreClient(
                     store.name, [parse_address(f"{HOST}:{store.daemons[0].store_port}", "")]
@@ -107,12 +107,14 @@
                         await client.call("set", {"text": text}, 5.0)
                     assert caught.value.code == "invalid" and key in str(caught.value)
 
-            anyio.run(unchecked)
+            anyio.run(set_without_tool_check)
         assert store.ask("config", "get") == before
         assert len(store.ask("config", "history").splitlines()) == 1
 
 
-def test_history_diff_rollback_and_two_changes_of_one_revision(upstream: Upstream, tmp_path: Path) -> None:
+def test_history_diff_rollback_and_refusal_of_a_second_change_of_one_revision(
+    upstream: Upstream, tmp_path: Path
+) -> None:
     with cluster(1, config_text(("north", upstream.port))) as store:
         wait_until_serving(store.daemons[0])
         first = store.ask("config", "get")
@@ -187,6 +189,7 @@
 
 
 def test_an_isolated_instance_refuses_at_once_and_recovers(upstream: Upstream) -> None:
+    """Without a lease, an instance may hold an outdated configuration, so it must send nothing."""
     with cluster(3, config_text(("north", upstream.port))) as store:
         for daemon in store.daemons:
             wait_until_serving(daemon)
@@ -256,6 +259,7 @@
 def test_a_client_is_redirected_to_the_leader_and_a_repeated_change_takes_effect_once(
     upstream: Upstream, tmp_path: Path
 ) -> None:
+    """A change repeated under its number must return the first result and add no revision."""
     with cluster(3, config_text(("north", upstream.port))) as store:
         leader = store.leader()
         follower = next(instance for instance in store.daemons if instance is not leader)
@@ -340,6 +344,7 @@
 
 
 def test_a_wiped_replica_is_refused_under_its_old_name(upstream: Upstream) -> None:
+    """A wiped replica has lost its votes and entries, so it could elect a leader that lacks some of them."""
     with cluster(3, config_text(("north", upstream.port))) as store:
         for daemon in store.daemons:
             wait_until_serving(daemon)
@@ -349,9 +354,8 @@
         wiped.start()
         assert wiped.process is not None and wiped.process.wait(10) == 2
         assert "harepick store init" in wiped.log.read_text()
-        store.tool(
-            "store", "init", "--operator", str(wiped.path)
-        )  # an operator creates the folder again anyway
+        # An operator creates the folder again anyway.
+        store.tool("store", "init", "--operator", str(wiped.path))
         wiped.start()
         rest = [instance for instance in store.daemons if instance is not wiped]
         until(
@@ -378,6 +382,7 @@
 def test_two_of_three_start_cold_with_and_without_the_newest_entry(
     upstream: Upstream, tmp_path: Path
 ) -> None:
+    """The replica that was down during the change must get it from the other one."""
     with cluster(3, config_text(("north", upstream.port))) as store:
         for daemon in store.daemons:
             wait_until_serving(daemon)
@@ -566,6 +571,7 @@
 
 
 def test_the_store_is_not_imported_where_it_is_off() -> None:
+    """Parts that are not configured must not be loaded, nor the packages that only they need."""
     import subprocess
     import sys
 
