--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -277,7 +277,7 @@
         return output
 
     def writes(self) -> Writes:
-        """The next write to make durable, before the following one is requested."""
+        """Takes the next write, which must be durable before the following one is requested."""
         return Writes() if self.stopped else self.raft.writes()
 
     def written(self, writes: Writes, now: float) -> None:
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -80,7 +80,7 @@
 
 
 class BadChangeError(ValueError):
-    """The requested membership change or transfer is not valid."""
+    """The requested change of the members, or transfer of the leadership, is not valid."""
 
 
 @dataclass
@@ -111,13 +111,13 @@
         self.name = name
         self._rng = rng
         self.term, self.vote = hard_state.term, hard_state.vote
-        self._handed_hard_state = hard_state
+        self._submitted_hard_state = hard_state
         self.snapshot = snapshot
         self.log = Log(snapshot.index, snapshot.term)
         self._memberships: list[tuple[int, Membership]] = [(snapshot.index, snapshot.membership)]
         self._append([entry for entry in entries if entry.index > snapshot.index])
         self.log.stable = self.log.submitted = self.log.last_index
-        self.commit = self.applied = snapshot.index
+        self.commit = self.applied = snapshot.index  # log indices
         self.role = Role.FOLLOWER
         self.leader = ""
         self.progress: dict[str, Progress] = {}
@@ -167,7 +167,10 @@
 
     @property
     def committed_membership(self) -> tuple[int, Membership]:
-        """The latest committed membership and the index of its entry, or of the compaction that covers it."""
+        """The index of the latest committed membership, and the membership.
+
+        The index is that of its entry, or the base index if that entry was compacted away.
+        """
         return next(row for row in reversed(self._memberships) if row[0] <= self.commit)
 
     @property
@@ -270,19 +273,19 @@
             return
         match message:
             case RequestVote():
-                self._on_vote(sender, message)
+                self._on_request_vote(sender, message)
             case PreVoteReply():
                 self._on_pre_vote_reply(sender, message)
             case RequestVoteReply():
-                self._on_vote_reply(sender, message)
+                self._on_request_vote_reply(sender, message)
             case AppendEntries():
-                self._on_append(sender, message)
+                self._on_append_entries(sender, message)
             case AppendEntriesReply():
-                self._on_append_reply(sender, message)
+                self._on_append_entries_reply(sender, message)
             case InstallSnapshot():
-                self._on_install(sender, message)
+                self._on_install_snapshot(sender, message)
             case InstallSnapshotReply():
-                self._on_install_reply(sender, message)
+                self._on_install_snapshot_reply(sender, message)
             case TimeoutNow():
                 if self.membership.is_voter(self.name) and self.role is Role.FOLLOWER:
                     self._forced_campaign = True
@@ -309,11 +312,11 @@
         self._promote_learner()
 
     def writes(self) -> Writes:
-        """The next write; it must be durable before the following one is requested."""
+        """Takes the next write; it must be durable before the following one is requested."""
         writes = Writes(messages_after=self._messages_after_write, snapshot=self._snapshot_to_write)
         self._messages_after_write, self._snapshot_to_write = [], None
-        if self.hard_state != self._handed_hard_state:
-            writes.hard_state = self._handed_hard_state = self.hard_state
+        if self.hard_state != self._submitted_hard_state:
+            writes.hard_state = self._submitted_hard_state = self.hard_state
         writes.entries = self.log.take_unwritten()
         return writes
 
@@ -335,7 +338,7 @@
             self._advance_commit()
 
     def committed(self, max_entries: int = 1_024) -> list[Entry]:
-        """The next entries to apply, in order; each is returned once."""
+        """Takes the next entries to apply, in order; each is returned once."""
         if self.applied < self.log.base_index:
             return []  # an installed snapshot is being written to the disk
         high = min(self.commit, self.log.stable, self.applied + max_entries)
@@ -344,7 +347,7 @@
         return entries
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """A snapshot of the state after `index`, which the host has applied and encoded as `data`.
+        """Makes a snapshot of the state after `index`, which the host has applied and encoded as `data`.
 
         The host makes it durable and then calls `compacted`.
         """
@@ -388,7 +391,10 @@
         self._reset_election_timeout()
 
     def _rejects_candidates(self, forced: bool) -> bool:
-        """Whether a current leader is a reason to ignore candidates, unless the leader handed over."""
+        """Whether candidates are ignored because a leader is alive.
+
+        `forced`: the leader itself told the candidate to campaign.
+        """
         return self.has_leader and not forced
 
     def _campaign(self, *, pre: bool) -> None:
@@ -448,7 +454,7 @@
         if self._has_majority():
             self._campaign(pre=False)
 
-    def _on_vote(self, sender: str, message: RequestVote) -> None:
+    def _on_request_vote(self, sender: str, message: RequestVote) -> None:
         granted = (
             self.vote in ("", sender)
             and self.role is Role.FOLLOWER
@@ -459,7 +465,7 @@
             self._election_elapsed = 0
         self._send_after_write(sender, RequestVoteReply(self.term, granted))
 
-    def _on_vote_reply(self, sender: str, message: RequestVoteReply) -> None:
+    def _on_request_vote_reply(self, sender: str, message: RequestVoteReply) -> None:
         if self.role is not Role.CANDIDATE:
             return
         self._votes[sender] = message.granted
@@ -598,7 +604,7 @@
             self._become_follower(self.term, sender)
         self._election_elapsed = 0
 
-    def _on_append(self, sender: str, message: AppendEntries) -> None:
+    def _on_append_entries(self, sender: str, message: AppendEntries) -> None:
         assert self.role is not Role.LEADER, "two leaders in one term"
         self._accept_leader(sender)
         prev_index, read_round = message.prev_index, message.read_round
@@ -628,7 +634,9 @@
                 if entry.index <= self.log.last_index:
                     assert entry.index > self.commit, "a committed entry would be truncated"
                     self.log.truncate_from(entry.index)
-                    self._memberships = [(at, held) for at, held in self._memberships if at < entry.index]
+                    self._memberships = [
+                        (at, membership) for at, membership in self._memberships if at < entry.index
+                    ]
                 self._append(list(message.entries[position:]))
                 break
         last = message.entries[-1].index if message.entries else message.prev_index
@@ -636,7 +644,10 @@
         self._send_after_write(sender, AppendEntriesReply(self.term, True, last, read_round))
 
     def _record_reply(self, sender: str, read_round: int) -> Progress | None:
-        """Records that a member replied, which may confirm reads; None if not leading or it is no member."""
+        """Records that a member replied, which may confirm reads.
+
+        Returns None if this replica does not lead or `sender` is no member.
+        """
         progress = self.progress.get(sender)
         if self.role is not Role.LEADER or progress is None:
             return None
@@ -645,7 +656,7 @@
         self._confirm_reads()
         return progress
 
-    def _on_append_reply(self, sender: str, message: AppendEntriesReply) -> None:
+    def _on_append_entries_reply(self, sender: str, message: AppendEntriesReply) -> None:
         progress = self._record_reply(sender, message.read_round)
         if progress is None:
             return
@@ -679,6 +690,7 @@
         self._confirm_reads()
 
     def _may_commit(self, index: int) -> bool:
+        """Only entries of the current term are committed by counting replicas (dissertation, 3.6.2)."""
         return self.log.term(index) == self.term
 
     def _send_timeout_now(self) -> None:
@@ -717,7 +729,7 @@
 
     # Snapshots
 
-    def _on_install(self, sender: str, message: InstallSnapshot) -> None:
+    def _on_install_snapshot(self, sender: str, message: InstallSnapshot) -> None:
         assert self.role is not Role.LEADER, "two leaders in one term"
         self._accept_leader(sender)
         if message.index <= self.commit:
@@ -757,7 +769,7 @@
             InstallSnapshotReply(self.term, message.index, len(received), message.read_round, done=True),
         )
 
-    def _on_install_reply(self, sender: str, message: InstallSnapshotReply) -> None:
+    def _on_install_snapshot_reply(self, sender: str, message: InstallSnapshotReply) -> None:
         progress = self._record_reply(sender, message.read_round)
         if progress is None:
             return
