--- a/benchmarks/faultyfiles.py
+++ b/benchmarks/faultyfiles.py
@@ -1,4 +1,8 @@
-"""A file layer in memory that crashes, tears, reorders, flips bits and fills up, as a seed says."""
+"""An in-memory file layer for the store's disk code that injects seeded storage faults.
+
+It can lose power in the middle of a write, tear or reorder unsynced writes, flip bits, run out of space,
+fail syncs and acknowledge syncs that it did not perform.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,19 @@
 
 
 class Crash(BaseException):
-    """The power goes at this operation."""
+    """Power failure at a file operation; the text names the operation."""
 
 
 class _File:
+    """Contents of a file: what was synced, and the writes after that."""
+
     def __init__(self) -> None:
         self.durable = b""
         self.pending: list[bytes] = []  # writes since the last sync
 
     @property
     def data(self) -> bytes:
+        """What a process reads now."""
         return self.durable + b"".join(self.pending)
 
     def copy(self) -> _File:
@@ -29,17 +36,19 @@
 
 
 class _Handle:
+    """Appends to one file."""
+
     def __init__(self, files: FaultyFiles, file: _File) -> None:
         self._files, self._file = files, file
 
     def write(self, data: bytes) -> None:
-        def torn() -> None:
+        def write_half() -> None:
             self._file.pending.append(data[: len(data) // 2])
 
-        self._files.operation("write", torn)
-        room = self._files.room
-        if room is not None and self._files.size() + len(data) > room:
-            self._file.pending.append(data[: max(0, room - self._files.size())])
+        self._files.operation("write", write_half)
+        capacity = self._files.capacity
+        if capacity is not None and self._files.size() + len(data) > capacity:
+            self._file.pending.append(data[: max(0, capacity - self._files.size())])
             raise OSError(errno.ENOSPC, "No space left on device")
         self._file.pending.append(data)
 
@@ -56,30 +65,35 @@
 
 
 class FaultyFiles:
-    """The folder. Names have a durable and a present form; `sync_folder` makes the one the other."""
+    """One folder. `present` holds the names that processes see, `durable` those that survive a power failure.
+
+    `sync_folder` makes the present names durable."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
         self.present: dict[str, _File] = {}
         self.durable: dict[str, _File] = {}
-        self.steps: list[Callable[[dict[str, _File]], None]] = []  # changes of names since the last sync
-        self.room: int | None = None
+        # Changes of names since the last `sync_folder`.
+        self.name_changes: list[Callable[[dict[str, _File]], None]] = []
+        self.capacity: int | None = None  # bytes that fit; None: no limit
         self.fail_syncs = False
-        self.crash_at: int | None = None  # operations until the power goes
+        self.crash_at: int | None = None  # value of `operations` at which the power fails
         self.operations = 0
         self.locked = False
-        self.lying_sync = False  # a disk that says it has synced, and has not: to show that tests find it
+        self.lying_sync = False  # syncs are acknowledged and not done, to prove that the tests detect it
 
     def __str__(self) -> str:
         return "memory"
 
     def size(self) -> int:
+        """Bytes in all files."""
         return sum(len(f.data) for f in self.present.values())
 
-    def operation(self, kind: str, half: Callable[[], None]) -> None:
+    def operation(self, kind: str, write_part: Callable[[], None]) -> None:
+        """Counts an operation. At `crash_at` performs part of it and raises `Crash`."""
         self.operations += 1
         if self.crash_at is not None and self.operations >= self.crash_at:
-            half()
+            write_part()
             self.crash_at = None
             raise Crash(kind)
 
@@ -93,7 +107,7 @@
         self.operation("create", lambda: None)
         if name not in self.present:
             file = self.present[name] = _File()
-            self.steps.append(lambda names: names.__setitem__(name, file))
+            self.name_changes.append(lambda names: names.__setitem__(name, file))
         return _Handle(self, self.present[name])
 
     def truncate(self, name: str, size: int) -> None:
@@ -105,24 +119,24 @@
         self.operation("rename", lambda: None)
         file = self.present[new] = self.present.pop(old)
 
-        def step(names: dict[str, _File]) -> None:
+        def apply_rename(names: dict[str, _File]) -> None:
             names.pop(old, None)
             names[new] = file
 
-        self.steps.append(step)
+        self.name_changes.append(apply_rename)
 
     def remove(self, name: str) -> None:
         self.operation("remove", lambda: None)
         del self.present[name]
 
-        def step(names: dict[str, _File]) -> None:
+        def apply_removal(names: dict[str, _File]) -> None:
             names.pop(name, None)
 
-        self.steps.append(step)
+        self.name_changes.append(apply_removal)
 
     def sync_folder(self) -> None:
         self.operation("sync_folder", lambda: None)
-        self.durable, self.steps = dict(self.present), []
+        self.durable, self.name_changes = dict(self.present), []
 
     def lock(self) -> None:
         if self.locked:
@@ -132,39 +146,40 @@
     def close(self) -> None:
         self.locked = False
 
-    # What a test does to it
+    # Faults
 
     def process_dies(self) -> None:
-        """The process is killed, the machine goes on: what was written is there."""
+        """Kills the process: what was written stays, synced or not, and the lock is released."""
         self.locked = False
 
     def power_fails(self) -> None:
-        """What was not synced may be there, in part, in any order, or not at all."""
+        """Fails the power: each unsynced write survives whole, in part or not at all, in any order."""
         rng = self.rng
         names = dict(self.durable)
-        for step in self.steps[: rng.randint(0, len(self.steps))]:
-            step(names)
+        for change in self.name_changes[: rng.randint(0, len(self.name_changes))]:
+            change(names)
         for file in {id(f): f for f in names.values()}.values():
-            kept = [rng.choice(("all", "part", "none")) for _ in file.pending]
+            outcomes = [rng.choice(("all", "part", "none")) for _ in file.pending]
             tail = b""
-            for write, how in zip(file.pending, kept, strict=True):
-                if how == "all":
+            for write, outcome in zip(file.pending, outcomes, strict=True):
+                if outcome == "all":
                     tail += write
-                elif how == "part":
-                    cut = rng.randint(0, len(write))
-                    parts = [write[:cut], bytes(len(write) - cut)]
+                elif outcome == "part":
+                    split = rng.randint(0, len(write))
+                    parts = [write[:split], bytes(len(write) - split)]
                     if rng.random() < 0.3:
-                        parts = [bytes(cut), write[cut:]]
+                        parts = [bytes(split), write[split:]]
                     tail += b"".join(parts)
                 else:
                     tail += bytes(len(write))
             if rng.random() < 0.5:
-                tail = tail[: rng.randint(0, len(tail))]  # the size was not written either
+                tail = tail[: rng.randint(0, len(tail))]  # the file's new length was lost as well
             file.durable, file.pending = file.durable + tail, []
-        self.present, self.durable, self.steps = names, dict(names), []
+        self.present, self.durable, self.name_changes = names, dict(names), []
         self.locked = False
 
     def flip(self, name: str, bit: int) -> None:
+        """Flips one bit of a file; bits count from the first byte's lowest."""
         file = self.present[name]
         data = bytearray(file.data)
         data[bit // 8] ^= 1 << bit % 8
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -22,7 +22,16 @@
 import anyio
 import orjson
 
-from benchmarks.daemons import HOST, Asker, Cluster, Daemon, Upstreams, config_text, percentile, print_line
+from benchmarks.daemons import (
+    HOST,
+    Cluster,
+    Daemon,
+    LookupGenerator,
+    Upstreams,
+    config_text,
+    percentile,
+    print_line,
+)
 from harepick.settings import parse_address
 from harepick.store.client import StoreClient, StoreError
 
@@ -155,7 +164,7 @@
         made.leader()
         changer = Changer(made, upstreams.ports, wanted.seed)
         changer.start()
-        askers = {d.name: Asker(d.dns_port, RATE, n) for n, d in enumerate(made.daemons)}
+        askers = {d.name: LookupGenerator(d.dns_port, RATE, n) for n, d in enumerate(made.daemons)}
         for asker in askers.values():
             asker.start()
         trouble = Trouble(made, wanted.seed)
@@ -179,7 +188,7 @@
 def judge(
     wanted: argparse.Namespace,
     changer: Changer,
-    askers: dict[str, Asker],
+    askers: dict[str, LookupGenerator],
     trouble: Trouble,
     history: list[dict[str, object]],
     stopped: list[dict[str, object]],
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -23,9 +23,9 @@
 
 from benchmarks.daemons import (
     HOST,
-    Asker,
     Cluster,
     Daemon,
+    LookupGenerator,
     Upstreams,
     config_text,
     percentile,
@@ -92,7 +92,7 @@
 
 def window(port: int, seconds: float, seed: int) -> tuple[list[float], int]:
     """Times of look-ups at one instance, in ms, and how many were not served."""
-    asker = Asker(port, RATE, seed)
+    asker = LookupGenerator(port, RATE, seed)
     asker.start()
     time.sleep(seconds)
     asker.rate = 0.001
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 
-from benchmarks.daemons import HOST, Asker, Daemon, Upstreams, cluster, config_text
+from benchmarks.daemons import HOST, Daemon, LookupGenerator, Upstreams, cluster, config_text
 from harepick.fleet.ports import free_port
 from harepick.settings import parse_address
 from harepick.store import wire
@@ -168,7 +168,7 @@
         for daemon in store.daemons:
             until(lambda instance=daemon: instance.events("store_adopted"), why="the first revision")  # type: ignore[misc]
         load_generators = [
-            Asker(instance.dns_port, 100, number) for number, instance in enumerate(store.daemons)
+            LookupGenerator(instance.dns_port, 100, number) for number, instance in enumerate(store.daemons)
         ]
         for load_generator in load_generators:
             load_generator.start()
@@ -602,7 +602,7 @@
         for daemon in store.daemons:
             wait_until_serving(daemon)
         leader = store.leader()
-        load_generator = Asker(leader.dns_port, 50, 1)
+        load_generator = LookupGenerator(leader.dns_port, 50, 1)
         load_generator.start()
         done = threading.Event()
         path = write_config(tmp_path, config_text(("north", upstream.port)))
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -248,12 +248,12 @@
     storage.open()
     storage.write(HardState(1, ""), make_entries(1, 3, 1), None)
     if fault == "full":
-        files.room = files.size() + 10
+        files.capacity = files.size() + 10
     else:
         files.fail_syncs = True
     with pytest.raises(StorageError):
         storage.write(None, make_entries(4, 6, 1), None)
-    files.room, files.fail_syncs = None, False  # the disk works again, but its contents are unknown
+    files.capacity, files.fail_syncs = None, False  # the disk works again, but its contents are unknown
     before = files.operations
     with pytest.raises(StorageError):
         storage.write(None, make_entries(4, 6, 1), None)
