--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -1,9 +1,10 @@
-"""A seeded virtual world for what the fleet's instances settle through the store's log, under its leases.
+"""Seeded simulation of a fleet whose instances agree through the store's log and act under its leases.
 
-The log is taken for what `benchmarks/store_model.py` shows it to be: one order of entries, of which a
-majority keeps those that are committed. `Lease` and `Grants` are the real ones, and badly treated: clocks of
-different rates, messages lost and late, links cut one way, instances paused and killed, leaders deposed
-without knowing it. What is replicated, what a leader proposes and what an instance does are a subclass's.
+The log itself is assumed to be correct (`benchmarks/store_model.py` checks that): a single order of entries,
+of which a majority keeps those that are committed. `Lease` and `Grants` are the production classes. They run
+under faults: clocks of different rates, lost and late messages, one-way cuts, paused and killed instances,
+and deposed leaders that do not know it. A subclass of `World` defines the replicated state, what a leader
+proposes and what an instance does.
 """
 
 from __future__ import annotations
@@ -21,196 +22,207 @@
 from benchmarks.daemons import print_line
 from harepick.store.leases import Grants, Lease
 
-LENGTH = 1.0  # seconds of a lease
-RENEW = 0.27 * LENGTH
-RATES = (0.955, 1.045)  # of clocks: their ratio stays under the fence's slack of 1.1
-SECONDS = 12.0  # of one schedule
-TICK = 0.05
-MOVES = 2.0  # seconds between two shifts of demand
+LEASE_S = 1.0
+RENEW_INTERVAL_S = 0.27 * LEASE_S
+CLOCK_RATES = (0.955, 1.045)  # their ratio stays below the 1.1 that leases allow (CLOCK_RATE_MARGIN)
+SCHEDULE_S = 12.0
+TICK_S = 0.05
+DEMAND_SHIFT_S = 2.0  # mean time between two shifts of demand
 
 State = TypeVar("State")
-Waits = Callable[[int], list[str]]  # index -> who may still act on something older
+UnconfirmedBy = Callable[[int], list[str]]  # index -> instances that may still act on an older state
 
 
-class Broken(Exception):  # noqa: N818 - a finding, not a fault of the program
-    """A rule was broken; the text says which, when and by whom."""
+class Violation(Exception):  # noqa: N818 - a finding, not an error of the program
+    """A checked rule was broken; the text says which, when and by which instance."""
 
 
 class Instance(Generic[State]):
-    """One controller: its copy of the state, its lease, and its part as a leader."""
+    """One controller: its copy of the replicated state, its lease, and its grants if it leads."""
 
-    def __init__(self, name: str, rng: Random, fresh: Callable[[], State], broken: str) -> None:
-        self.name, self.rate = name, rng.uniform(*RATES)
+    def __init__(self, name: str, rng: Random, initial_state: Callable[[], State], broken: str) -> None:
+        self.name, self.clock_rate = name, rng.uniform(*CLOCK_RATES)
         self.offset = rng.uniform(0.0, 1000.0)
         self.broken = broken
         self.up, self.paused = True, False
-        self.leads = False  # what it believes
-        self.grants = Grants(LENGTH)
-        self._fresh = fresh
-        self._new(rng)
+        self.believes_leader = False  # whether it takes itself for the leader
+        self.grants = Grants(LEASE_S)
+        self._initial_state = initial_state
+        self._reset(rng)
 
-    def _new(self, rng: Random) -> None:
-        self.state = self._fresh()
+    def _reset(self, rng: Random) -> None:
+        self.state = self._initial_state()
         self.applied = 0
-        self.lease = Lease(LENGTH, rng.getrandbits(60))
-        self.next_ask = 0.0
+        self.lease = Lease(LEASE_S, rng.getrandbits(60))
+        self.next_request_at = 0.0
 
     def restart(self, rng: Random) -> None:
-        """Its log is on disk: it applies it anew."""
-        self.up, self.paused, self.leads = True, False, False
-        self.grants = Grants(LENGTH)
-        self._new(rng)
+        """Starts a new process, which applies the log from its disk again."""
+        self.up, self.paused, self.believes_leader = True, False, False
+        self.grants = Grants(LEASE_S)
+        self._reset(rng)
 
     def clock(self, now: float) -> float:
-        return self.offset + now * self.rate
+        """Its own clock at a time of the world."""
+        return self.offset + now * self.clock_rate
 
     def may_act(self, now: float) -> bool:
+        """Whether its lease lets it act now."""
         if self.broken == "lease_ignored":
             return True
         return self.lease.holds(self.clock(now))
 
 
 class World(Generic[State]):
-    """`broken` names a rule that is broken on purpose."""
+    """A fleet of 3 or 5 instances; `broken` names a rule to break on purpose, to prove that it is checked."""
 
     def __init__(self, seed: int, broken: str = "") -> None:
         self.rng, self.broken = Random(seed), broken
-        count = self.rng.choice((3, 5))
-        self.instances = {n: Instance(n, self.rng, self.fresh, broken) for n in "abcde"[:count]}
+        size = self.rng.choice((3, 5))
+        self.instances = {
+            name: Instance(name, self.rng, self.initial_state, broken) for name in "abcde"[:size]
+        }
         self.names = tuple(self.instances)
         self.now, self.steps = 0.0, 0
-        self.log: list[Any] = []  # committed; entry n is number n + 1
-        self.truth = self.fresh()
+        self.log: list[Any] = []  # committed entries; log[0] has index 1
+        self.committed_state = self.initial_state()
         self.true_leader = ""
-        self.pending: list[tuple[str, Any]] = []  # proposed, on their way to a majority
-        self.cut: set[tuple[str, str]] = set()
+        self.pending: list[tuple[str, Any]] = []  # (proposer, command), not yet committed
+        self.cut_links: set[tuple[str, str]] = set()
         self.loss = self.rng.choice((0.0, 0.05, 0.2))
-        self.late = self.rng.choice((0.01, 0.05, 0.2))
-        self.skew = dict.fromkeys(self.names, 1.0)  # demand at each, for worlds that have any
+        self.max_delay = self.rng.choice((0.01, 0.05, 0.2))
+        self.skew = dict.fromkeys(self.names, 1.0)  # relative demand at each instance
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
 
-    # A subclass's
+    # Hooks for subclasses
 
-    def fresh(self) -> State:
+    def initial_state(self) -> State:
         """The replicated state before any entry."""
         raise NotImplementedError
 
     def apply(self, state: State, index: int, command: Any) -> None:
-        """One entry, on one copy."""
+        """Applies the entry `index` to one copy of the state."""
         raise NotImplementedError
 
-    def applied(self, instance: Instance[State]) -> None:
-        """That copy has come so far; right after this it tells so."""
+    def on_applied(self, instance: Instance[State]) -> None:
+        """Called when an instance has caught up, before it reports how far it has applied."""
 
-    def committed(self, command: Any) -> None:
-        """It was applied to `truth`: here rules are looked at."""
+    def on_committed(self, command: Any) -> None:
+        """Called after a command was applied to `committed_state`; checks rules."""
 
-    def lead(self, instance: Instance[State], live: frozenset[str], waits: Waits) -> None:
-        """It believes that it leads, and knows whose leases run."""
+    def act_as_leader(
+        self, instance: Instance[State], live: frozenset[str], unconfirmed_by: UnconfirmedBy
+    ) -> None:
+        """A tick of an instance that believes it leads; `live` are the holders of unexpired leases."""
         raise NotImplementedError
 
     def act(self, instance: Instance[State]) -> None:
-        """A tick of an instance that may act: here rules are looked at."""
+        """A tick of an instance whose lease lets it act; checks rules."""
         raise NotImplementedError
 
     def tick(self, instance: Instance[State]) -> None:
-        """A tick of an instance that runs, whether it may act or not."""
+        """A tick of any running instance, whether or not it may act."""
 
-    def operate(self) -> None:
-        """What operators and callers do from the start on."""
+    def start_load(self) -> None:
+        """Schedules what operators and callers do."""
 
-    def trouble(self) -> None:
-        """Something of the subclass's own goes wrong."""
+    def inject_own_fault(self) -> None:
+        """Injects a fault that only this subclass has."""
 
-    def figures(self) -> dict[str, float]:
+    def statistics(self) -> dict[str, float]:
+        """What the schedule came to; the keys are those of the JSON line."""
         return {"steps": self.steps, "entries": len(self.log)}
 
     # Time and messages
 
-    def at(self, when: float, work: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._heap, (when, self._count, work))
+    def call_at(self, when: float, work: Callable[[], None]) -> None:
+        """Runs `work` at a time of the world, in seconds."""
+        self._event_count += 1
+        heapq.heappush(self._heap, (when, self._event_count, work))
 
-    def send(self, one: str, other: str, work: Callable[[], None]) -> None:
-        """A message: lost, late, or held up while its hearer is paused."""
-        if one != other and ((one, other) in self.cut or self.rng.random() < self.loss):
+    def send(self, sender: str, receiver: str, work: Callable[[], None]) -> None:
+        """Delivers a message: lost, delayed, or held back while its receiver is paused."""
+        if sender != receiver and ((sender, receiver) in self.cut_links or self.rng.random() < self.loss):
             return
-        wait = 0.0 if one == other else self.rng.uniform(0.001, self.late)
-        self.at(self.now + wait, partial(self._deliver, other, work))
+        wait = 0.0 if sender == receiver else self.rng.uniform(0.001, self.max_delay)
+        self.call_at(self.now + wait, partial(self._deliver, receiver, work))
 
     def _deliver(self, name: str, work: Callable[[], None]) -> None:
         instance = self.instances[name]
         if not instance.up:
             return
         if instance.paused:
-            self.at(self.now + TICK, partial(self._deliver, name, work))
+            self.call_at(self.now + TICK_S, partial(self._deliver, name, work))
         else:
             work()
 
-    def shift(self) -> None:
-        """Demand moves, now and every `MOVES` seconds or so."""
-        self.at(self.now + self.rng.uniform(0.5, 1.5) * MOVES, self.shift)
+    def shift_demand(self) -> None:
+        """Changes the skew of demand, now and about every `DEMAND_SHIFT_S` seconds."""
+        self.call_at(self.now + self.rng.uniform(0.5, 1.5) * DEMAND_SHIFT_S, self.shift_demand)
         self.skew = {name: self.rng.choice((0.05, 1.0, 1.0, 6.0)) for name in self.names}
 
     # The log
 
     def _quorum(self, name: str) -> bool:
-        """Whether it can exchange messages with a majority now, itself among them."""
+        """Whether it can now exchange messages with a majority, itself included."""
         instance = self.instances[name]
-        heard = sum(
+        reachable = sum(
             other == name
             or (
                 self.instances[other].up
                 and not self.instances[other].paused
-                and (name, other) not in self.cut
-                and (other, name) not in self.cut
+                and (name, other) not in self.cut_links
+                and (other, name) not in self.cut_links
             )
             for other in self.names
         )
-        return instance.up and not instance.paused and 2 * heard > len(self.names)
+        return instance.up and not instance.paused and 2 * reachable > len(self.names)
 
     def elect(self) -> None:
-        """Another leads; the one before may go on believing that it does."""
-        able = [name for name in self.names if self._quorum(name)]
-        if not able:
+        """Elects a leader at random; its predecessor may go on believing that it leads."""
+        candidates = [name for name in self.names if self._quorum(name)]
+        if not candidates:
             self.true_leader = ""
             return
-        old, self.true_leader = self.true_leader, self.rng.choice(able)
-        kept, self.pending = self.pending, []
+        predecessor, self.true_leader = self.true_leader, self.rng.choice(candidates)
+        inherited, self.pending = self.pending, []
         leader = self.instances[self.true_leader]
-        leader.leads = True
-        leader.grants = Grants(LENGTH)
+        leader.believes_leader = True
+        leader.grants = Grants(LEASE_S)
         leader.grants.become_leader(leader.clock(self.now))
         if self.broken == "no_wait_after_election":
             leader.grants._earlier_leases_end = 0.0
-        for _, command in kept:  # what had reached the new leader it commits, the rest is lost
+        # About half of the pending entries had reached the new leader, which commits them; the rest is lost.
+        for _, command in inherited:
             if self.rng.random() < 0.5:
                 self._commit(command)
         self._catch_up(self.true_leader)
-        if old and old != self.true_leader:
-            self.at(self.now + self.rng.uniform(0.0, 3 * LENGTH), partial(self._learns, old))
+        if predecessor and predecessor != self.true_leader:
+            self.call_at(self.now + self.rng.uniform(0.0, 3 * LEASE_S), partial(self._step_down, predecessor))
 
-    def _learns(self, name: str) -> None:
+    def _step_down(self, name: str) -> None:
         if name != self.true_leader:
-            self.instances[name].leads = False
+            self.instances[name].believes_leader = False
 
     def _commit(self, command: Any) -> None:
         self.log.append(command)
-        self.apply(self.truth, len(self.log), command)
-        self.committed(command)
+        self.apply(self.committed_state, len(self.log), command)
+        self.on_committed(command)
 
     def propose(self, name: str, command: Any) -> None:
-        """From one that believes that it leads, or by way of the true leader.
+        """Proposes a command at `name`; ignored unless that is the true leader.
 
-        An entry of one that was deposed never commits: a later leader's own entries, without which that one
-        grants no lease, go before it in every log that could win an election."""
+        An entry of a deposed leader never commits: the new leader's own first entry, without which it grants
+        no lease, precedes it in every log that could win an election."""
         if name != self.true_leader:
             return
         self.pending.append((name, command))
-        self.at(self.now + self.rng.uniform(0.002, self.late), partial(self._settle, name, command))
+        self.call_at(
+            self.now + self.rng.uniform(0.002, self.max_delay), partial(self._finish_proposal, name, command)
+        )
 
-    def _settle(self, name: str, command: Any) -> None:
+    def _finish_proposal(self, name: str, command: Any) -> None:
         if (name, command) not in self.pending:
             return
         self.pending.remove((name, command))
@@ -218,167 +230,185 @@
             self._commit(command)
 
     def _catch_up(self, name: str) -> None:
-        """Applies what is committed; then tells the leader, as the node does."""
+        """Applies the committed entries and reports the index to the leader, as the node does."""
         instance = self.instances[name]
         while instance.applied < len(self.log):
             instance.applied += 1
             self.apply(instance.state, instance.applied, self.log[instance.applied - 1])
-        self.applied(instance)
+        self.on_applied(instance)
         instance.lease.record_applied(instance.applied)
-        if instance.leads:
+        if instance.believes_leader:
             instance.grants.record_adopted(name, instance.applied)
         if self.true_leader:
             leader = self.instances[self.true_leader]
             self.send(name, self.true_leader, partial(leader.grants.record_adopted, name, instance.applied))
 
-    # What instances do
+    # Instances
 
     def _tick(self, name: str) -> None:
-        self.at(self.now + TICK * self.rng.uniform(0.8, 1.2), partial(self._tick, name))
+        self.call_at(self.now + TICK_S * self.rng.uniform(0.8, 1.2), partial(self._tick, name))
         instance = self.instances[name]
         if not instance.up or instance.paused:
             return
         self.steps += 1
         leader = self.true_leader
-        if leader and (name == leader or ((leader, name) not in self.cut and self.rng.random() > self.loss)):
+        if leader and (
+            name == leader or ((leader, name) not in self.cut_links and self.rng.random() > self.loss)
+        ):
             self._catch_up(name)
         clock = instance.clock(self.now)
-        if clock >= instance.next_ask:
-            instance.next_ask = clock + RENEW
-            self._ask(name)
-        if instance.leads and not instance.grants.waits_for(0, clock):
+        if clock >= instance.next_request_at:
+            instance.next_request_at = clock + RENEW_INTERVAL_S
+            self._request_lease(name)
+        if instance.believes_leader and not instance.grants.waits_for(0, clock):
             grants = instance.grants
             skip = self.broken == "no_confirmation"
 
-            def waits(index: int) -> list[str]:
+            def unconfirmed_by(index: int) -> list[str]:
                 return [] if skip else grants.waits_for(index, clock)
 
-            self.lead(instance, frozenset(grants.holders(clock)), waits)
+            self.act_as_leader(instance, frozenset(grants.holders(clock)), unconfirmed_by)
         self.tick(instance)
         if instance.may_act(self.now):
             self.act(instance)
 
-    def _ask(self, name: str) -> None:
-        """Asks whom it takes for the leader: the true one, or itself."""
+    def _request_lease(self, name: str) -> None:
+        """Requests a lease from the true leader, or from itself if it believes that it leads."""
         instance = self.instances[name]
-        to = name if instance.leads else self.true_leader
+        to = name if instance.believes_leader else self.true_leader
         if not to:
             return
         number = instance.lease.request(instance.clock(self.now))
-        self.send(name, to, partial(self._asked, to, name, number, instance.applied))
+        self.send(name, to, partial(self._receive_lease_request, to, name, number, instance.applied))
 
-    def _asked(self, leader: str, name: str, number: int, applied: int) -> None:
-        lead = self.instances[leader]
-        if not lead.leads:
+    def _receive_lease_request(self, leader: str, name: str, number: int, applied: int) -> None:
+        receiver = self.instances[leader]
+        if not receiver.believes_leader:
             return
-        lead.grants.record_adopted(name, applied)
-        lead.grants.record_lease(name, lead.clock(self.now))
-        wait = self.rng.uniform(0.002, self.late)  # the round that confirms that it still leads
-        index = lead.applied if leader != self.true_leader else len(self.log)  # committed as it begins
-        self.at(self.now + wait, partial(self._confirmed, leader, name, number, index))
-
-    def _confirmed(self, leader: str, name: str, number: int, index: int) -> None:
+        receiver.grants.record_adopted(name, applied)
+        receiver.grants.record_lease(name, receiver.clock(self.now))
+        wait = self.rng.uniform(0.002, self.max_delay)  # the quorum round that confirms its leadership
+        # The entries that are committed when the round begins.
+        index = receiver.applied if leader != self.true_leader else len(self.log)
+        self.call_at(self.now + wait, partial(self._grant_lease, leader, name, number, index))
+
+    def _grant_lease(self, leader: str, name: str, number: int, index: int) -> None:
         if leader == self.true_leader and self._quorum(leader):
             self.send(leader, name, partial(self.instances[name].lease.record_grant, number, index))
 
-    # Troubles
+    # Faults
 
-    def _trouble(self) -> None:
-        self.at(self.now + self.rng.uniform(0.1, 1.5), self._trouble)
+    def _inject_fault(self) -> None:
+        self.call_at(self.now + self.rng.uniform(0.1, 1.5), self._inject_fault)
         name = self.rng.choice(self.names)
         instance = self.instances[name]
-        wait = self.now + self.rng.uniform(0.1, 3 * LENGTH)
+        end = self.now + self.rng.uniform(0.1, 3 * LEASE_S)
         match self.rng.choice(("pause", "pause", "kill", "cut", "cut", "cut", "elect", "elect", "own")):
             case "pause" if instance.up:
                 instance.paused = True
-                self.at(wait, lambda: setattr(instance, "paused", False))
+                self.call_at(end, lambda: setattr(instance, "paused", False))
             case "kill" if instance.up:
                 instance.up = False
-                self.at(wait, lambda: instance.restart(self.rng))
+                self.call_at(end, lambda: instance.restart(self.rng))
             case "cut":
                 links = {(name, other) for other in self.names if other != name}
                 if self.rng.random() < 0.5:
-                    links = {(b, a) for a, b in links}
+                    links = {(target, source) for source, target in links}
                 elif self.rng.random() < 0.5:
-                    links |= {(b, a) for a, b in links}
-                self.cut |= links
-                self.at(wait, lambda: self.cut.difference_update(links))
+                    links |= {(target, source) for source, target in links}
+                self.cut_links |= links
+                self.call_at(end, lambda: self.cut_links.difference_update(links))
             case "own":
-                self.trouble()
+                self.inject_own_fault()
         if not self.true_leader or not self._quorum(self.true_leader) or self.rng.random() < 0.3:
             self.elect()
 
-    def play(self) -> None:
-        """Raises `Broken`."""
+    def run(self) -> None:
+        """Runs the schedule. Raises `Violation`."""
         self.elect()
         for name in self.names:
-            self.at(self.rng.uniform(0.0, TICK), partial(self._tick, name))
-        self.operate()
-        self.at(self.rng.uniform(0.5, 2.5), self._trouble)
-        while self._heap and self._heap[0][0] < SECONDS:
+            self.call_at(self.rng.uniform(0.0, TICK_S), partial(self._tick, name))
+        self.start_load()
+        self.call_at(self.rng.uniform(0.5, 2.5), self._inject_fault)
+        while self._heap and self._heap[0][0] < SCHEDULE_S:
             self.now, _, work = heapq.heappop(self._heap)
             work()
 
 
-class Made(Protocol):
+class WorldFactory(Protocol):
+    """A `World` subclass, as `schedule` calls it."""
+
     def __call__(self, seed: int, broken: str) -> World[Any]: ...
 
 
-def schedule(make: Made, seed: int, broken: str = "") -> tuple[dict[str, float], str]:
-    """What one schedule came to, and the rule that was broken in it, if one was."""
+def schedule(make: WorldFactory, seed: int, broken: str = "") -> tuple[dict[str, float], str]:
+    """Runs one seed; returns its statistics and the violation found, or an empty text."""
     world = make(seed, broken)
-    found = ""
+    violation = ""
     try:
-        world.play()
-    except Broken as error:
-        found = f"seed {seed}: {error}"
-    return world.figures(), found
+        world.run()
+    except Violation as error:
+        violation = f"seed {seed}: {error}"
+    return world.statistics(), violation
 
 
-def many(
-    make: Made, first: int, count: int, broken: str, processes: int, highest: tuple[str, ...]
+def run_schedules(
+    make: WorldFactory, first: int, count: int, broken: str, processes: int, highest: tuple[str, ...]
 ) -> tuple[dict[str, float], list[str], int, float]:
-    """Sums of the figures (the largest of those named `highest`), what was broken, schedules, seconds."""
+    """Runs `count` seeds from `first` on, in parallel.
+
+    Returns the summed statistics (for those named in `highest` the maximum), the violations, the number of
+    schedules and the seconds that they took."""
     total: dict[str, float] = {}
     violations: list[str] = []
-    played, began = 0, time.monotonic()
+    run_count, began = 0, time.monotonic()
     work = partial(schedule, make, broken=broken)
     with multiprocessing.get_context("fork").Pool(processes) as pool:
-        for figures, found in pool.imap_unordered(work, range(first, first + count), 200):
-            played += 1
-            for key, value in figures.items():
+        for statistics, violation in pool.imap_unordered(work, range(first, first + count), 200):
+            run_count += 1
+            for key, value in statistics.items():
                 known = total.get(key, 0)
                 total[key] = max(known, value) if key in highest else known + value
-            if found:
-                violations.append(found)
-    return total, sorted(violations), played, time.monotonic() - began
+            if violation:
+                violations.append(violation)
+    return total, sorted(violations), run_count, time.monotonic() - began
 
 
 def arguments(doc: str | None, breaks: tuple[str, ...]) -> argparse.ArgumentParser:
-    """What all models take."""
+    """The options that all models have."""
     parser = argparse.ArgumentParser(description=doc, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--schedules", type=int, default=100_000)
     parser.add_argument("--first-seed", type=int, default=1)
-    parser.add_argument("--break", dest="broken", choices=breaks, default="", help="break a rule on purpose")
+    parser.add_argument(
+        "--break",
+        dest="broken",
+        choices=breaks,
+        default="",
+        help="break a rule on purpose, to prove that it is checked",
+    )
     parser.add_argument("--processes", type=int, default=multiprocessing.cpu_count())
     return parser
 
 
-def tell(
-    name: str, first: int, found: tuple[dict[str, float], list[str], int, float], enough: bool, **more: object
+def print_report(
+    name: str,
+    first: int,
+    result: tuple[dict[str, float], list[str], int, float],
+    enough: bool,
+    **fields: object,
 ) -> int:
-    """The last line of a model, and the exit code."""
-    total, violations, played, took = found
+    """Prints up to five violations and the JSON line of a model; returns the exit code."""
+    total, violations, run_count, seconds = result
     for text in violations[:5]:
         print(text, file=sys.stderr)
     line = {
         "benchmark": name,
         "seed": first,
         "ok": not violations and enough,
-        "schedules": played,
+        "schedules": run_count,
         "violations": len(violations),
-        **more,
+        **fields,
         **{key: round(value, 3) for key, value in total.items()},
-        "took_s": round(took, 1),
+        "took_s": round(seconds, 1),
     }
     return print_line(line)
--- a/tests/test_fleet_models.py
+++ b/tests/test_fleet_models.py
@@ -12,7 +12,7 @@
     for seed in range(1, 301):
         figures, violation = maint_model.schedule(seed)
         assert not violation, violation
-        assert figures["most_out_at_once"] <= maint_model.PLAN.max_out
+        assert figures["most_out_at_once"] <= maint_model.SETTINGS.max_out
         for key, value in figures.items():
             total[key] = total.get(key, 0) + value
     # The schedules exercise the rules: orders ended, some while an instance was gone.
@@ -63,7 +63,7 @@
         figures, violation = limit_model.schedule(seed, each=True)
         assert not violation, violation
         used += figures["used_share"]
-    assert used / 100 / len(limit_model.GREEDY) > 0.2
+    assert used / 100 / len(limit_model.GREEDY_CALLERS) > 0.2
     assert any(limit_model.schedule(seed, "forgetful", each=True)[1] for seed in range(1, 20))
 
 
