--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -1,13 +1,13 @@
-"""Cold servers under the sum of a whole fleet: many decision modules, no sockets, one world a seed.
+"""Simulates the load of a whole fleet of border controllers on cold servers, without sockets.
 
-The claim: however a fleet of border controllers hears of a release, restarts in the middle of it and shares
-its traffic out, the set-ups that reach a cold server in any window of `tip_after` stay within
-N + 2 x root of N + 2, with N what the settings allow it: `tip_multiple` x its capacity in that window. The
-world counts; the modules are told nothing of it. Servers rise evenly from `cold_share` to all they can do.
+While servers are replaced and controllers restart, the set-ups that reach a cold server in any window of
+`tip_after` seconds have to stay within N + 2 x sqrt(N) + 2, where N is what the settings allow it:
+`tip_multiple` x its capacity in that window. Only the simulation counts them; the controllers have no such
+count. A cold server's capacity rises evenly from `cold_share` to the full one.
 
     python -m benchmarks.cold_model --schedules 200 --first-seed 1 [--fronts 30] [--break ramp]
 
-`--break ramp` has the modules keep to no ramp at all, and must be found.
+`--break ramp` turns off the ramp of the controllers, which must be found.
 """
 
 from __future__ import annotations
@@ -24,15 +24,14 @@
 
 import orjson
 
-from harepick import decide
-from harepick import interface as i
+from harepick import decide, interface
 
-SETTINGS = i.Settings(
+SETTINGS = interface.Settings(
     me=0,
     fronts=1,
     classes=(
-        i.CallClass("search", aim=2.0, give_up=9.0, worth=1.0, late_share=0.25),
-        i.CallClass("update", aim=1.5, give_up=9.0, worth=3.0, late_share=0.25),
+        interface.CallClass("search", aim=2.0, give_up=9.0, worth=1.0, late_share=0.25),
+        interface.CallClass("update", aim=1.5, give_up=9.0, worth=3.0, late_share=0.25),
     ),
     cold_share=0.34,
     warm_after=14.0,
@@ -46,205 +45,238 @@
     may_advise=True,
     max_advice=2.0,
 )
-LENGTH = 26.0  # seconds of a schedule: a release, and the time its servers take to warm
-BEGINS = 6.0
-FULL_AFTER = 2.5  # a processor turns set-ups away past this wait
-HOLD = 9.0
+SCHEDULE_S = 26.0  # a release of new servers, and the time that they take to warm up
+RELEASE_START_S = 6.0
+MAX_QUEUE_WAIT_S = 2.5  # a server rejects set-ups that would wait longer
+CALL_S = 9.0
 
 
 @dataclass
-class Machine:
-    """A setup server as the world knows it: one processor with one line."""
+class SetupServer:
+    """A setup server: one processor with one queue."""
 
     name: str
     number: int
-    capacity: float  # set-ups a second once warm
-    started: float = 0.0  # 0: long ago
+    capacity: float  # set-ups per second once warm
+    started: float = 0.0  # 0: before the schedule, so it is warm
     gone_at: float = float("inf")
     busy_until: float = 0.0
-    sent: deque[float] = field(default_factory=deque)  # arrivals within the last window
-    worst: float = 0.0  # most calls of a window over what may be, as a share of that
+    sent: deque[float] = field(default_factory=deque)  # arrival times within the last window, while cold
+    max_bound_share: float = 0.0  # most arrivals of a window, as a share of the bound
 
     def share(self, now: float) -> float:
+        """The share of its full capacity that it has now."""
         if not self.started:
             return 1.0
-        rise = (now - self.started) / SETTINGS.warm_after
-        return min(1.0, SETTINGS.cold_share + (1.0 - SETTINGS.cold_share) * max(0.0, rise))
+        warm_part = (now - self.started) / SETTINGS.warm_after
+        return min(1.0, SETTINGS.cold_share + (1.0 - SETTINGS.cold_share) * max(0.0, warm_part))
 
-    def takes(self, now: float) -> float | None:
-        """When a set-up that arrives now is answered; None: turned away."""
+    def accept(self, now: float) -> float | None:
+        """Takes a set-up that arrives now; returns when it is answered, or None if it is rejected."""
         if self.started and now - self.started < SETTINGS.warm_after:
             self.sent.append(now)
             while self.sent[0] <= now - SETTINGS.tip_after:
                 self.sent.popleft()
-            # By what it can do as the window begins: it only rises.
-            can = self.share(max(self.started, now - SETTINGS.tip_after)) * self.capacity
-            allowed = SETTINGS.tip_multiple * can * SETTINGS.tip_after
-            self.worst = max(self.worst, len(self.sent) / (allowed + 2.0 * sqrt(allowed) + 2.0))
+            # The capacity at the start of the window: it only rises.
+            capacity = self.share(max(self.started, now - SETTINGS.tip_after)) * self.capacity
+            allowed = SETTINGS.tip_multiple * capacity * SETTINGS.tip_after
+            self.max_bound_share = max(
+                self.max_bound_share, len(self.sent) / (allowed + 2.0 * sqrt(allowed) + 2.0)
+            )
         work = 1.0 / (self.capacity * self.share(now))
-        if self.busy_until - now > FULL_AFTER:
+        if self.busy_until - now > MAX_QUEUE_WAIT_S:
             self.busy_until += work / 5.0
             return None
         self.busy_until = max(self.busy_until, now) + work
         return self.busy_until
 
 
-class Front:
-    """One border controller: its module, and what it was told."""
+class BorderController:
+    """One border controller around its decision core."""
 
     def __init__(self, world: World, number: int, share: float) -> None:
         self.world, self.number, self.share = world, number, share
         self.up = False
-        self.module: decide.Controller
+        self.core: decide.Controller
 
     def start(self) -> None:
+        """Starts a process: a new decision core that is given the servers known so far."""
         world = self.world
-        settings = replace(SETTINGS, me=self.number, fronts=len(world.fronts))
-        self.module = decide.Controller(settings, world.rng.getrandbits(32), world.now)
+        settings = replace(SETTINGS, me=self.number, fronts=len(world.controllers))
+        self.core = decide.Controller(settings, world.rng.getrandbits(32), world.now)
         self.up, self.life = True, object()
-        self.perform(self.module.start())
-        rows = tuple(world.entry(m) for m in world.listed.values())
-        self.hear(i.ServerList(i.ListKind.REMEMBERED, rows))
+        self.perform_actions(self.core.start())
+        entries = tuple(world.entry(server) for server in world.listed.values())
+        self.handle_events(interface.ServerList(interface.ListKind.REMEMBERED, entries))
 
-    def hear(self, *events: i.Event) -> None:
+    def handle_events(self, *events: interface.Event) -> None:
         if self.up:
-            self.perform(self.module.step(self.world.now, events))
+            self.perform_actions(self.core.step(self.world.now, events))
 
-    def later(self, delay: float, event: Callable[[], i.Event]) -> None:
+    def call_later(self, delay: float, event: Callable[[], interface.Event]) -> None:
         life = self.life
 
-        def told() -> None:
+        def deliver() -> None:
             if self.life is life and self.up:
-                self.hear(event())
+                self.handle_events(event())
 
-        self.world.at(delay, told)
+        self.world.call_later(delay, deliver)
 
-    def perform(self, actions: list[i.Action]) -> None:
+    def perform_actions(self, actions: list[interface.Action]) -> None:
         for action in actions:
             match action:
-                case i.WakeAfter(delay, token):
-                    self.later(delay, lambda token=token: i.Woken(token))  # type: ignore[misc]
-                case i.Send(call, server):
+                case interface.WakeAfter(delay, token):
+                    self.call_later(delay, lambda token=token: interface.Woken(token))  # type: ignore[misc]
+                case interface.Send(call, server):
                     self.send(call, server)
-                case i.Refuse(call, come_back):
-                    self.world.refused(call, come_back)
+                case interface.Refuse(call, retry_after):
+                    self.world.handle_refusal(call, retry_after)
 
     def send(self, call: str, server: str) -> None:
         world = self.world
-        sent, way = world.now, world.rng.uniform(0.004, 0.024)
+        sent, latency = world.now, world.rng.uniform(0.004, 0.024)
         attempt = world.attempts[call] = world.attempts.get(call, -1) + 1
 
-        def arrives() -> None:
-            machine = world.machines[server]
-            if world.now >= machine.gone_at:
-                ended = i.AttemptEnded(call, attempt, server, i.Outcome.UNREACHED, world.now - sent, False)
-                return self.later(way, lambda: ended)
-            done = machine.takes(world.now)
-            if done is None:
-                full = i.AttemptEnded(call, attempt, server, i.Outcome.FULL, way * 2, False, 3)
-                return self.later(way, lambda: full)
-            delay = done - world.now + way
-            self.later(delay, lambda: i.CallStands(call, attempt, server, world.now - sent))
-            over = i.AttemptEnded(call, attempt, server, i.Outcome.OK, HOLD, True)
-            self.later(delay + HOLD, lambda: over)
-
-        world.at(way, arrives)
+        def arrive() -> None:
+            target = world.servers[server]
+            if world.now >= target.gone_at:
+                unreached = interface.AttemptEnded(
+                    call, attempt, server, interface.Outcome.UNREACHED, world.now - sent, False
+                )
+                return self.call_later(latency, lambda: unreached)
+            answered_at = target.accept(world.now)
+            if answered_at is None:
+                full = interface.AttemptEnded(
+                    call, attempt, server, interface.Outcome.FULL, latency * 2, False, 3
+                )
+                return self.call_later(latency, lambda: full)
+            delay = answered_at - world.now + latency
+            self.call_later(delay, lambda: interface.CallStands(call, attempt, server, world.now - sent))
+            ended = interface.AttemptEnded(call, attempt, server, interface.Outcome.OK, CALL_S, True)
+            self.call_later(delay + CALL_S, lambda: ended)
+
+        world.call_later(latency, arrive)
 
 
 class World:
+    """Servers, callers and border controllers of one seed."""
+
     def __init__(self, seed: int, fronts: int) -> None:
         self.rng = rng = random.Random(seed)
-        self.now, self._heap, self._count = 0.0, [], 0  # type: ignore[var-annotated]
-        shares = [rng.lognormvariate(0.0, 0.7) for _ in range(fronts)]  # some get several times the mean
-        self.fronts = [Front(self, n, s / sum(shares)) for n, s in enumerate(shares)]
+        self.now, self._heap, self._event_count = 0.0, [], 0  # type: ignore[var-annotated]
+        # Some controllers get several times the mean.
+        shares = [rng.lognormvariate(0.0, 0.7) for _ in range(fronts)]
+        self.controllers = [BorderController(self, n, s / sum(shares)) for n, s in enumerate(shares)]
         count = rng.randint(4, 12)
-        self.rate = rng.uniform(1.5, 5.0) * fronts  # calls a second, over all of them
+        self.rate = rng.uniform(1.5, 5.0) * fronts  # calls per second, over all controllers
         load = rng.uniform(0.6, 1.2)
         capacity = self.rate / (count * load)
-        self.machines = {f"s{n}": Machine(f"s{n}", n, capacity) for n in range(count)}
-        self.listed = dict(self.machines)
+        self.servers = {f"s{n}": SetupServer(f"s{n}", n, capacity) for n in range(count)}
+        self.listed = dict(self.servers)
         self.attempts: dict[str, int] = {}
-        self.callers: dict[str, tuple[Front, int, int]] = {}
+        self.callers: dict[str, tuple[BorderController, int, int]] = {}
         self.replaced = max(1, round(count * rng.uniform(0.3, 0.7)))
         self.restarts = rng.random() < 0.6
 
-    def at(self, delay: float, what: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._heap, (self.now + delay, self._count, what))
-
-    def entry(self, machine: Machine) -> i.ServerEntry:
-        state = "gone" if self.now >= machine.gone_at else "draining" if machine.gone_at < LENGTH else "ready"
-        return i.ServerEntry(machine.name, machine.number, state, 1.0, machine.started)
-
-    def tell(self, *machines: Machine) -> None:
-        """News of the list, to each front in its own time."""
-        for front in self.fronts:
-            late = self.rng.uniform(0.3, 2.5)
-
-            def told(front: Front = front) -> None:
-                front.hear(i.ServerList(i.ListKind.CHANGES, tuple(self.entry(m) for m in machines)))
-
-            self.at(late, told)
-
-    def arrive(self, front: Front, number: int, tries: int = 0) -> None:
-        self._count += 1
-        call = f"c{self._count}"
-        self.callers[call] = front, number, tries
-        kind = "update" if number % 5 == 0 else "search"
-        dest = self.rng.randrange(len(self.fronts)) % max(m.number + 1 for m in self.machines.values())
-        front.hear(i.CallArrived(call, dest, self.now + 9.0, kind, number=number))
-
-    def refused(self, call: str, come_back: float) -> None:
-        front, number, tries = self.callers[call]
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
+        """Runs a callback after a delay, in seconds of the world."""
+        self._event_count += 1
+        heapq.heappush(self._heap, (self.now + delay, self._event_count, callback))
+
+    def entry(self, server: SetupServer) -> interface.ServerEntry:
+        """The server's row of the server list."""
+        state = (
+            "gone" if self.now >= server.gone_at else "draining" if server.gone_at < SCHEDULE_S else "ready"
+        )
+        return interface.ServerEntry(server.name, server.number, state, 1.0, server.started)
+
+    def announce(self, *servers: SetupServer) -> None:
+        """Announces changes of the server list to each controller, after a delay of its own."""
+        for controller in self.controllers:
+            delay = self.rng.uniform(0.3, 2.5)
+
+            def deliver(controller: BorderController = controller) -> None:
+                controller.handle_events(
+                    interface.ServerList(
+                        interface.ListKind.CHANGES, tuple(self.entry(server) for server in servers)
+                    )
+                )
+
+            self.call_later(delay, deliver)
+
+    def place_call(self, controller: BorderController, number: int, tries: int = 0) -> None:
+        self._event_count += 1
+        call = f"c{self._event_count}"
+        self.callers[call] = controller, number, tries
+        class_name = "update" if number % 5 == 0 else "search"
+        destination = self.rng.randrange(len(self.controllers)) % max(
+            server.number + 1 for server in self.servers.values()
+        )
+        controller.handle_events(
+            interface.CallArrived(call, destination, self.now + 9.0, class_name, number=number)
+        )
+
+    def handle_refusal(self, call: str, retry_after: float) -> None:
+        """The caller tries again, at most twice."""
+        controller, number, tries = self.callers[call]
         if tries < 2:
-            pause = max(come_back, self.rng.uniform(0.54, 1.3))
-            self.at(pause, lambda: self.arrive(front, number, tries + 1))
+            pause = max(retry_after, self.rng.uniform(0.54, 1.3))
+            self.call_later(pause, lambda: self.place_call(controller, number, tries + 1))
 
-    def traffic(self, front: Front) -> None:
+    def start_traffic(self, controller: BorderController) -> None:
         def next_call() -> None:
-            self.arrive(front, self.rng.getrandbits(40))
-            self.at(self.rng.expovariate(self.rate * front.share), next_call)
+            self.place_call(controller, self.rng.getrandbits(40))
+            self.call_later(self.rng.expovariate(self.rate * controller.share), next_call)
 
-        self.at(self.rng.expovariate(self.rate * front.share), next_call)
+        self.call_later(self.rng.expovariate(self.rate * controller.share), next_call)
 
-    def release(self) -> None:
-        """Servers replaced within some seconds: drained first, the successor in their place cold."""
+    def replace_servers(self) -> None:
+        """Replaces servers within a few seconds: each drains first, and its successor starts cold."""
         span = self.rng.uniform(0.5, 8.0)
-        for old in self.rng.sample(list(self.machines.values()), self.replaced):
-            begin, stays = BEGINS + self.rng.uniform(0, span), self.rng.uniform(2.0, 6.0)
+        for old in self.rng.sample(list(self.servers.values()), self.replaced):
+            start, drain_s = RELEASE_START_S + self.rng.uniform(0, span), self.rng.uniform(2.0, 6.0)
             pause = self.rng.uniform(0.0, 3.0)
 
-            def drain(old: Machine = old, stays: float = stays) -> None:
-                old.gone_at = self.now + stays
-                self.tell(old)
-                self.at(stays, lambda: self.tell(old))
-
-            def replace_it(old: Machine = old) -> None:
-                new = Machine(old.name + "n", old.number, old.capacity, started=self.now)
-                self.machines[new.name] = self.listed[new.name] = new
-                self.tell(new)
-
-            self.at(begin, drain)
-            self.at(begin + pause, replace_it)
-
-    def restart(self, front: Front) -> None:
-        front.up = False
-        self.at(self.rng.uniform(0.4, 1.2), front.start)
-
-    def play(self) -> dict[str, float]:
-        for front in self.fronts:
-            front.start()
-            self.traffic(front)
-        self.release()
+            def drain(old: SetupServer = old, drain_s: float = drain_s) -> None:
+                old.gone_at = self.now + drain_s
+                self.announce(old)
+                self.call_later(drain_s, lambda: self.announce(old))
+
+            def replace_it(old: SetupServer = old) -> None:
+                new = SetupServer(old.name + "n", old.number, old.capacity, started=self.now)
+                self.servers[new.name] = self.listed[new.name] = new
+                self.announce(new)
+
+            self.call_later(start, drain)
+            self.call_later(start + pause, replace_it)
+
+    def restart(self, controller: BorderController) -> None:
+        """Stops the controller, and starts it again after about a second."""
+        controller.up = False
+        self.call_later(self.rng.uniform(0.4, 1.2), controller.start)
+
+    def run(self) -> dict[str, float]:
+        """Runs the schedule; returns the largest share of the bound that a cold server met, and counts."""
+        for controller in self.controllers:
+            controller.start()
+            self.start_traffic(controller)
+        self.replace_servers()
         if self.restarts:
-            for n, front in enumerate(self.fronts):
-                self.at(BEGINS + 1.6 * (n * 10 // len(self.fronts)), partial(self.restart, front))
-        while self._heap and self._heap[0][0] < LENGTH:
-            self.now, _, what = heapq.heappop(self._heap)
-            what()
-        cold = [m for m in self.machines.values() if m.started]
+            for n, controller in enumerate(self.controllers):
+                self.call_later(
+                    RELEASE_START_S + 1.6 * (n * 10 // len(self.controllers)),
+                    partial(self.restart, controller),
+                )
+        while self._heap and self._heap[0][0] < SCHEDULE_S:
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
+        cold = [server for server in self.servers.values() if server.started]
         sends = sum(self.attempts.values()) + len(self.attempts)
-        return {"worst": max((m.worst for m in cold), default=0.0), "sends": sends, "cold": len(cold)}
+        return {
+            "worst": max((server.max_bound_share for server in cold), default=0.0),
+            "sends": sends,
+            "cold": len(cold),
+        }
 
 
 def main() -> int:
@@ -255,30 +287,30 @@
     parser.add_argument("--first-seed", type=int, default=1)
     parser.add_argument("--fronts", type=int, default=30)
     parser.add_argument("--break", dest="broken", choices=["ramp"])
-    args = parser.parse_args()
-    if args.broken:
+    options = parser.parse_args()
+    if options.broken:
         decide.Controller._has_cold_token = lambda self, server: True  # type: ignore[method-assign]
-    worst, over, sends, cold = (0.0, 0), [], 0.0, 0.0
-    for seed in range(args.first_seed, args.first_seed + args.schedules):
-        found = World(seed, args.fronts).play()
-        worst = max(worst, (found["worst"], seed))
-        over += [seed] if found["worst"] > 1.0 else []
-        sends, cold = sends + found["sends"], cold + found["cold"]
+    worst, violating_seeds, set_ups, cold_servers = (0.0, 0), [], 0.0, 0.0
+    for seed in range(options.first_seed, options.first_seed + options.schedules):
+        result = World(seed, options.fronts).run()
+        worst = max(worst, (result["worst"], seed))
+        violating_seeds += [seed] if result["worst"] > 1.0 else []
+        set_ups, cold_servers = set_ups + result["sends"], cold_servers + result["cold"]
     line = {
         "benchmark": "cold_model",
-        "seed": args.first_seed,
-        "ok": not over,
-        "schedules": args.schedules,
-        "fronts": args.fronts,
-        "cold_servers": int(cold),
-        "set_ups": int(sends),
-        "violations": len(over),
-        "over_seeds": over[:10],
+        "seed": options.first_seed,
+        "ok": not violating_seeds,
+        "schedules": options.schedules,
+        "fronts": options.fronts,
+        "cold_servers": int(cold_servers),
+        "set_ups": int(set_ups),
+        "violations": len(violating_seeds),
+        "over_seeds": violating_seeds[:10],
         "worst_of_bound": round(worst[0], 3),
         "worst_seed": worst[1],
     }
     print(orjson.dumps(line).decode())
-    return 0 if not over else 1
+    return 0 if not violating_seeds else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/heal_model.py
+++ b/benchmarks/heal_model.py
@@ -1,8 +1,8 @@
-"""Members that are dropped and taken back in the store's seeded world: `benchmarks/store_model.py`, with the
-roster's rule at work in whoever leads, and losses that last.
+"""Simulates a fleet that drops lost members from the store's voters and takes them back.
 
-All that the store's world checks is checked here too; and that dropping leaves `keep` voters and a majority
-of them there, and that all vote again once all troubles are over.
+This is the simulation of `benchmarks/store_model.py` with the membership policy at work in the leader and
+with instances that stay away for long. Beside the invariants of the store it checks that dropping a member
+leaves `keep` voters and a majority of them present, and that all vote again once all faults are over.
 
     python -m benchmarks.heal_model --seeds 1000 --first-seed 1
 """
@@ -16,7 +16,17 @@
 from functools import partial
 
 from benchmarks.daemons import print_line
-from benchmarks.store_model import LEASE, Host, Row, ViolationError, World, arguments, play, row, summed
+from benchmarks.store_model import (
+    LEASE_S,
+    Host,
+    Result,
+    ViolationError,
+    World,
+    arguments,
+    run_seed,
+    run_world,
+    sum_results,
+)
 from harepick.fleet.membership.absences import LEAVING, SetMemberState
 from harepick.fleet.membership.policy import Add, FleetState, Member, MembershipSettings, Remove, decide
 from harepick.store.node import Node
@@ -24,14 +34,17 @@
 from harepick.store.state_machine import Envelope
 
 REPLICAS = 5
-PLAN = MembershipSettings(drop_after=1.2, keep=3)
-LOOK = 0.1  # seconds between two looks of a leader
-LOST = 7.0  # mean seconds for which one that is lost for long is away
+SETTINGS = MembershipSettings(drop_after=1.2, keep=3)
+CHECK_INTERVAL_S = 0.1  # between two decisions of a leader
+MEAN_ABSENCE_S = 7.0
 BREAKS = ("", "keeps_none", "forgets")
 
 
 class HealingWorld(World):
-    """`broken`: `keeps_none` drops to the last voter, `forgets` removes without writing it on the roster."""
+    """The store's world with the membership policy.
+
+    `broken`: `keeps_none` drops members down to the last voter, `forgets` removes a member without recording
+    its absence."""
 
     broken = ""
 
@@ -40,61 +53,61 @@
         self.stats |= dict.fromkeys(("dropped", "taken_back", "marks", "fewest"), 0)
         self.stats["fewest"] = replicas
         self.healed = False
-        self.at(1.5, self._lose)
+        self.call_later(1.5, self._lose_host)
 
     def _start(self, host: Host) -> None:
         super()._start(host)
-        since: dict[str, float] = {}
-        life = host.life
+        lost_since: dict[str, float] = {}
+        incarnation = host.incarnation
 
-        def look() -> None:
-            if host.life != life:
+        def check_members() -> None:
+            if host.incarnation != incarnation:
                 return
-            self._run(host, life, lambda: self._look(host, since))
-            self.at(LOOK, look)
+            self._run(host, incarnation, lambda: self._check_members(host, lost_since))
+            self.call_later(CHECK_INTERVAL_S, check_members)
 
-        self.at(LOOK, look)
+        self.call_later(CHECK_INTERVAL_S, check_members)
 
     def heal(self) -> None:
         super().heal()
         self.healed = True
 
-    def _trouble(self) -> None:
-        """Fewer than in the store's own world: a leader has to last until it may judge anybody."""
+    def _inject_fault(self) -> None:
+        """Fewer faults than in the store's world: a leader has to last until it may drop a member."""
         if self.rng.random() < 0.3:
-            super()._trouble()
+            super()._inject_fault()
         else:
-            self.at(self.rng.expovariate(1 / 0.5), self._trouble)
+            self.call_later(self.rng.expovariate(1 / 0.5), self._inject_fault)
 
-    def _member(self) -> None:
-        """No operator here: the fleet alone changes its members."""
+    def _change_membership(self) -> None:
+        """No operator changes the members here: only the fleet does."""
 
-    def _lose(self) -> None:
-        """One after another is gone for long, at times until no majority is left."""
+    def _lose_host(self) -> None:
+        """Takes away one host after another for long, at times until no majority is left."""
         if self.healed:
             return
-        self.at(self.rng.uniform(1.5, 4.0), self._lose)
+        self.call_later(self.rng.uniform(1.5, 4.0), self._lose_host)
         host = self.rng.choice(list(self.hosts.values()))
         if host.node:
-            host.life += 1
+            host.incarnation += 1
             host.node = host.storage = None
             host.files.process_dies()
-            self.at(self.rng.uniform(0.5, 1.5) * LOST, partial(self._back, host))
+            self.call_later(self.rng.uniform(0.5, 1.5) * MEAN_ABSENCE_S, partial(self._bring_back, host))
 
-    def _back(self, host: Host) -> None:
+    def _bring_back(self, host: Host) -> None:
         if host.node is None:
             self._start(host)
 
-    def _look(self, host: Host, since: dict[str, float]) -> None:
+    def _check_members(self, host: Host, lost_since: dict[str, float]) -> None:
         node, now = host.node, self.clock(host)
         assert node
         if node.stopped or node.raft.role is not Role.LEADER or node.grants.waits_for(0, now):
-            since.clear()
+            lost_since.clear()
             return
-        sight = self._sight(host, node, since, now)
-        roster = node.state_machine.absences
-        plan = MembershipSettings(PLAN.drop_after, 1) if self.broken == "keeps_none" else PLAN
-        step = decide(roster, plan, sight)
+        fleet = self._fleet_state(host, node, lost_since, now)
+        absences = node.state_machine.absences
+        settings = MembershipSettings(SETTINGS.drop_after, 1) if self.broken == "keeps_none" else SETTINGS
+        step = decide(absences, settings, fleet)
         with contextlib.suppress(NotLeaderError, BusyError, BadChangeError):
             match step:
                 case SetMemberState():
@@ -104,29 +117,29 @@
                     node.change(Envelope("", 0, step), lambda answer: None)
                     self.stats["marks"] += 1
                 case Remove(instance):
-                    self._judge(instance, sight)
+                    self._check_removal(instance, fleet)
                     node.remove(instance, lambda answer: None)
                     self.stats["dropped"] += 1
                 case Add(instance, address):
                     node.add(instance, address, lambda answer: None)
                     self.stats["taken_back"] += 1
 
-    def _sight(self, host: Host, node: Node, since: dict[str, float], now: float) -> FleetState:
-        members = {m.id: Member(m.address, m.voter) for m in node.raft.membership.members}
+    def _fleet_state(self, host: Host, node: Node, lost_since: dict[str, float], now: float) -> FleetState:
+        members = {member.id: Member(member.address, member.voter) for member in node.raft.membership.members}
         live = node.grants.holders(now)
         for name in members:
             if name in live:
-                since.pop(name, None)
+                lost_since.pop(name, None)
             else:
-                since.setdefault(name, now)
-        for name in [name for name in since if name not in members]:
-            del since[name]
+                lost_since.setdefault(name, now)
+        for name in [name for name in lost_since if name not in members]:
+            del lost_since[name]
         return FleetState(
             name=host.name,
             now=now,
             membership_committed=node.raft.membership_index <= node.raft.commit,
             members=members,
-            without_lease={name: now - at for name, at in since.items()},
+            without_lease={name: now - lost_at for name, lost_at in lost_since.items()},
             rejoining=frozenset(
                 other.name
                 for other in self.hosts.values()
@@ -138,61 +151,73 @@
             in_maintenance=frozenset(),
         )
 
-    def _judge(self, instance: str, sight: FleetState) -> None:
-        if not sight.members[instance].voter:
+    def _check_removal(self, instance: str, fleet: FleetState) -> None:
+        if not fleet.members[instance].voter:
             return
-        left = sight.voters - {instance}
-        there = left - sight.without_lease.keys()
-        self.stats["fewest"] = min(self.stats["fewest"], len(left))
-        if len(left) < PLAN.keep or len(there) <= len(left) // 2:
-            raise ViolationError(f"{instance} was dropped, and {sorted(there)} of {sorted(left)} were there")
-
-
-def heals(seed: int, seconds: float = 20.0, world: type[HealingWorld] = HealingWorld) -> HealingWorld:
-    """One world; at its end, with no trouble left, all have to be voters again. Raises `ViolationError`."""
-    made = play(seed, REPLICAS, seconds, world)
-    assert isinstance(made, HealingWorld)
-    made.play(seconds + 12.0 + 3 * LOST + 10 * LEASE)
-    for host in made.hosts.values():
+        remaining = fleet.voters - {instance}
+        present = remaining - fleet.without_lease.keys()
+        self.stats["fewest"] = min(self.stats["fewest"], len(remaining))
+        if len(remaining) < SETTINGS.keep or len(present) <= len(remaining) // 2:
+            raise ViolationError(
+                f"{instance} was dropped while {sorted(present)} of {sorted(remaining)} were present"
+            )
+
+
+def run_until_healed(
+    seed: int, seconds: float = 20.0, world_class: type[HealingWorld] = HealingWorld
+) -> HealingWorld:
+    """Runs one world; all have to vote again some time after the faults. Raises `ViolationError`."""
+    healed_world = run_world(seed, REPLICAS, seconds, world_class)
+    assert isinstance(healed_world, HealingWorld)
+    healed_world.run_until(seconds + 12.0 + 3 * MEAN_ABSENCE_S + 10 * LEASE_S)
+    for host in healed_world.hosts.values():
         if host.node and host.node.raft.role is Role.LEADER:
             voters = host.node.raft.membership.voters
             if len(voters) != REPLICAS:
                 raise ViolationError(
-                    f"at the end {voters} vote, and {host.node.state_machine.absences.absent} are absent"
+                    f"at the end {voters} vote and {host.node.state_machine.absences.absent} are absent"
                 )
-    return made
+    return healed_world
 
 
-def _broken(kind: str) -> type[HealingWorld]:
+def _broken_world(kind: str) -> type[HealingWorld]:
     return type(kind, (HealingWorld,), {"broken": kind})
 
 
 def schedule(seed: int, kind: str = "", seconds: float = 20.0) -> tuple[dict[str, int], str]:
-    """What came of one world, and what it found."""
-    return _one((seed, kind, seconds))[1:]
+    """Runs one seed; returns its statistics and the violation found, or an empty text."""
+    return _run_job((seed, kind, seconds))[1:]
 
 
-def _one(job: tuple[int, str, float]) -> Row:
+def _run_job(job: tuple[int, str, float]) -> Result:
     seed, kind, seconds = job
-    return row(seed, lambda: heals(seed, seconds, _broken(kind) if kind else HealingWorld))
+    return run_seed(
+        seed, lambda: run_until_healed(seed, seconds, _broken_world(kind) if kind else HealingWorld)
+    )
 
 
 def main() -> int:
     parser = arguments(__doc__)
-    parser.add_argument("--break", dest="kind", choices=BREAKS, default="", help="a rule, on purpose")
-    wanted = parser.parse_args()
+    parser.add_argument(
+        "--break",
+        dest="kind",
+        choices=BREAKS,
+        default="",
+        help="break a rule on purpose, to prove that it is checked",
+    )
+    options = parser.parse_args()
     began = time.monotonic()
-    seeds = range(wanted.first_seed, wanted.first_seed + wanted.seeds)
-    with ProcessPoolExecutor(wanted.processes) as pool:
-        jobs = [(seed, wanted.kind, wanted.seconds) for seed in seeds]
-        totals, bad = summed(list(pool.map(_one, jobs, chunksize=4)), "fewest")
-    enough = totals.get("dropped", 0) > wanted.seeds and totals.get("taken_back", 0) > wanted.seeds
+    seeds = range(options.first_seed, options.first_seed + options.seeds)
+    with ProcessPoolExecutor(options.processes) as pool:
+        jobs = [(seed, options.kind, options.seconds) for seed in seeds]
+        totals, violations = sum_results(list(pool.map(_run_job, jobs, chunksize=4)), "fewest")
+    enough = totals.get("dropped", 0) > options.seeds and totals.get("taken_back", 0) > options.seeds
     line = {
         "benchmark": "heal_model",
-        "seed": wanted.first_seed,
-        "ok": not bad and enough,
-        "seeds": wanted.seeds,
-        "violations": len(bad),
+        "seed": options.first_seed,
+        "ok": not violations and enough,
+        "seeds": options.seeds,
+        "violations": len(violations),
         **totals,
         "took_s": round(time.monotonic() - began, 1),
     }
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -1,8 +1,10 @@
-"""The store in a seeded virtual world: loss, repeats, reordering, one-way cuts, crashes, pauses, new members.
+"""Seeded simulation of the replicated store under faults of the network, the processes and the disks.
 
-Plays the real consensus core, log, state machine and fencing on a faulty file layer, and checks in every
-step: one leader a term, logs that match, no committed entry lost, entries applied once and in order, reads
-that see what was acknowledged, and no act on a configuration older than the last acknowledged one.
+Messages are lost, repeated and reordered, links are cut (also one way), processes crash and pause, and
+members come and go. The consensus core, log, state machine and leases are the production code, on a faulty
+file layer. Checked in every step: one leader per term, matching logs, no committed entry lost, entries
+applied once and in order, reads that see what was acknowledged, and no act on a configuration older than the
+last acknowledged one.
 
     python -m benchmarks.store_model --seeds 200 --first-seed 1
 """
@@ -28,9 +30,9 @@
 from harepick.store.raft.messages import Member, Membership
 from harepick.store.state_machine import Conflict, Done, Envelope, Put
 
-TICK = 0.02
-LEASE = 0.8
-ACT = 0.03  # mean time between two acts of an instance
+TICK_S = 0.02
+LEASE_S = 0.8
+MEAN_ACT_INTERVAL_S = 0.03
 
 
 class ViolationError(AssertionError):
@@ -39,27 +41,27 @@
 
 @dataclass
 class Host:
-    """One replica's machine: its files outlive its processes."""
+    """One replica's host, whose files outlive its processes."""
 
     name: str
     files: FaultyFiles
-    rate: float  # of its clock
+    clock_rate: float  # seconds of its clock per second of the world
     offset: float
     node: Node | None = None
     storage: Storage | None = None
-    life: int = 0  # processes so far
+    incarnation: int = 0  # number of the current process
     paused: bool = False
     backlog: list[Callable[[], None]] = field(default_factory=list)
     writing: Writes | None = None
     checked: dict[int, int] = field(default_factory=dict)  # index -> term that was compared
-    committed: int = 0  # up to where commits were compared
-    led: tuple[int, int] = (0, 0)  # term and life in which it was seen to lead last
+    committed: int = 0  # index up to which commits were compared
+    led: tuple[int, int] = (0, 0)  # term and incarnation in which it was last seen to lead
     revision: int = 0
 
 
 @dataclass
 class Request:
-    """A client's change, repeated under its number until it has an answer."""
+    """A client's change, repeated under the same number until it is answered."""
 
     session: str
     number: int
@@ -69,6 +71,8 @@
 
 
 class World:
+    """A cluster, its clients and its faults; subclasses break rules to prove that they are checked."""
+
     raft: type[Raft] = Raft
 
     def __init__(self, seed: int, replicas: int) -> None:
@@ -76,7 +80,7 @@
         self.now = 0.0
         self.steps = 0
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._event_count = 0
         self.hosts: dict[str, Host] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.loss = self.rng.choice((0.0, 0.02, 0.1))
@@ -90,7 +94,7 @@
         self.entries: dict[tuple[int, int], tuple[bytes, int | None]] = {}
         self.committed: dict[int, tuple[int, bytes]] = {}
         self.committed_in: dict[int, int] = {}  # index -> term of the leader that committed it
-        self.acknowledged = 0  # revision
+        self.acknowledged = 0  # highest acknowledged revision
         self.acknowledged_texts: dict[str, int] = {}
         self.applied_texts: dict[str, int] = {}
         self.requests: list[Request] = []
@@ -99,34 +103,38 @@
         self.spare = [f"r{n}" for n in range(replicas, replicas + 2)]
         membership = Membership(tuple(Member(n, f"127.0.0.1:{n}") for n in names))
         for name in names:
-            self._host(name, membership)
+            self._add_host(name, membership)
         for name in names:
             self._start(self.hosts[name])
-        self.at(0.3, self._client)
-        self.at(0.5, self._reader)
-        self.at(1.0, self._trouble)
+        self.call_later(0.3, self._client)
+        self.call_later(0.5, self._reader)
+        self.call_later(1.0, self._inject_fault)
 
     # Time
 
-    def at(self, delay: float, what: Callable[[], None]) -> None:
-        self._count += 1
-        heapq.heappush(self._queue, (self.now + delay, self._count, what))
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
+        """Runs a callback after a delay, in seconds of the world."""
+        self._event_count += 1
+        heapq.heappush(self._queue, (self.now + delay, self._event_count, callback))
 
-    def play(self, seconds: float) -> None:
+    def run_until(self, seconds: float) -> None:
+        """Runs all callbacks that are due until then."""
         while self._queue and self._queue[0][0] <= seconds:
-            self.now, _, what = heapq.heappop(self._queue)
+            self.now, _, callback = heapq.heappop(self._queue)
             self.steps += 1
-            what()
+            callback()
 
     def next_due(self) -> float:
+        """When the next callback is due."""
         return self._queue[0][0]
 
     def clock(self, host: Host) -> float:
-        return self.now * host.rate + host.offset
+        """The host's own clock."""
+        return self.now * host.clock_rate + host.offset
 
-    # Machines
+    # Hosts
 
-    def _host(self, name: str, membership: Membership) -> Host:
+    def _add_host(self, name: str, membership: Membership) -> Host:
         rng = self.rng
         files = FaultyFiles(Random(rng.random()))
         host = Host(name, files, rng.uniform(0.96, 1.04), rng.uniform(0, 1e6))
@@ -135,7 +143,7 @@
         return host
 
     def _start(self, host: Host) -> None:
-        host.life += 1
+        host.incarnation += 1
         host.paused, host.backlog, host.writing = False, [], None
         host.checked.clear()
         host.committed = 0
@@ -147,7 +155,7 @@
             self._crash(host, power=True)
             return
         except StorageError as error:
-            raise ViolationError(f"{host.name} refuses a folder that only crashed: {error}") from None
+            raise ViolationError(f"{host.name} cannot open its folder after a crash: {error}") from None
 
         def adopt(revision: object) -> None:
             host.revision = revision.number  # type: ignore[attr-defined]
@@ -159,18 +167,18 @@
             found.snapshot,
             found.entries,
             self.clock(host),
-            lease=LEASE,
+            lease=LEASE_S,
             adopt=adopt,
             snapshot_every=25,
             raft=self.raft,
         )
-        life = host.life
-        self.at(self.rng.random() * TICK, lambda: self._tick(host, life))
-        self.at(self.rng.random() * ACT, lambda: self._act(host, life))
+        incarnation = host.incarnation
+        self.call_later(self.rng.random() * TICK_S, lambda: self._tick(host, incarnation))
+        self.call_later(self.rng.random() * MEAN_ACT_INTERVAL_S, lambda: self._act(host, incarnation))
 
     def _crash(self, host: Host, *, power: bool) -> None:
         self.stats["crashes"] += 1
-        host.life += 1
+        host.incarnation += 1
         host.node = host.storage = None
         host.files.crash_at = None
         if power:
@@ -178,47 +186,47 @@
         else:
             host.files.process_dies()
 
-        def again() -> None:
+        def restart() -> None:
             if host.node is None:
                 self._start(host)
 
-        self.at(self.rng.uniform(0.05, 2.0), again)
+        self.call_later(self.rng.uniform(0.05, 2.0), restart)
 
-    def _run(self, host: Host, life: int, what: Callable[[], None]) -> None:
-        """One turn of that process; what comes while it is paused waits."""
-        if host.life != life or host.node is None:
+    def _run(self, host: Host, incarnation: int, callback: Callable[[], None]) -> None:
+        """Runs a callback in that process, or later if the process is paused."""
+        if host.incarnation != incarnation or host.node is None:
             return
         if host.paused:
             if len(host.backlog) < 500:
-                host.backlog.append(lambda: self._run(host, life, what))
+                host.backlog.append(lambda: self._run(host, incarnation, callback))
             return
         try:
-            what()
-            self._poll(host, life)
+            callback()
+            self._poll(host, incarnation)
         except Crash:
             self._crash(host, power=True)
 
-    def _tick(self, host: Host, life: int) -> None:
-        if host.life != life:
+    def _tick(self, host: Host, incarnation: int) -> None:
+        if host.incarnation != incarnation:
             return
         node = host.node
         assert node
-        self._run(host, life, lambda: node.tick(self.clock(host)))
-        self.at(TICK / host.rate, lambda: self._tick(host, life))
+        self._run(host, incarnation, lambda: node.tick(self.clock(host)))
+        self.call_later(TICK_S / host.clock_rate, lambda: self._tick(host, incarnation))
 
-    def _poll(self, host: Host, life: int) -> None:
+    def _poll(self, host: Host, incarnation: int) -> None:
         node, storage = host.node, host.storage
         assert node and storage
-        told = node.poll(self.clock(host))
-        for to, message in told.outbox:
+        output = node.poll(self.clock(host))
+        for to, message in output.outbox:
             self._send(host.name, to, message)
         self._check(host)
-        for waiter, answer in told.answers:
+        for waiter, answer in output.answers:
             waiter(answer)  # type: ignore[operator]
         if host.writing is None and (writes := node.writes()):
             host.writing = writes
-            took = self.rng.uniform(0.0005, 0.01)
-            self.at(took, lambda: self._run(host, life, lambda: self._write(host, writes)))
+            duration = self.rng.uniform(0.0005, 0.01)
+            self.call_later(duration, lambda: self._run(host, incarnation, lambda: self._write(host, writes)))
         if host.writing is None and (snapshot := node.snapshot_due()):
             self.stats["snapshots"] += 1
             storage.save(snapshot)
@@ -232,6 +240,7 @@
         node.written(writes, self.clock(host))
 
     def persist(self, storage: Storage, writes: Writes) -> None:
+        """Writes to disk what the node asks for."""
         if writes.hard_state or writes.entries or writes.snapshot:
             storage.write(writes.hard_state, writes.entries, writes.snapshot)
 
@@ -247,23 +256,23 @@
                 continue
             delay = rng.expovariate(1 / self.delay)
             if rng.random() < 0.01:
-                delay += rng.uniform(0.2, 3.0)  # a straggler, of an earlier leader perhaps
-            self.at(delay, lambda: self._deliver(target, sender, message))
+                delay += rng.uniform(0.2, 3.0)  # a message may arrive after its sender was deposed
+            self.call_later(delay, lambda: self._deliver(target, sender, message))
 
     def _deliver(self, target: Host, sender: str, message: PeerMessage) -> None:
-        life = target.life
+        incarnation = target.incarnation
 
-        def work() -> None:
+        def receive() -> None:
             assert target.node
             target.node.receive(sender, message, self.clock(target))
 
         if (sender, target.name) not in self.cuts:
-            self._run(target, life, work)
+            self._run(target, incarnation, receive)
 
-    # What instances and clients do
+    # Instances and clients
 
-    def _act(self, host: Host, life: int) -> None:
-        if host.life != life or host.node is None:
+    def _act(self, host: Host, incarnation: int) -> None:
+        if host.incarnation != incarnation or host.node is None:
             return
         if not host.paused:
             if self.may_act(host):
@@ -274,33 +283,36 @@
                     )
             else:
                 self.stats["refused_acts"] += 1
-        self.at(self.rng.expovariate(1 / ACT), lambda: self._act(host, life))
+        self.call_later(self.rng.expovariate(1 / MEAN_ACT_INTERVAL_S), lambda: self._act(host, incarnation))
 
     def may_act(self, host: Host) -> bool:
+        """Whether the host's lease lets it act now."""
         assert host.node
         return host.node.may_act(self.clock(host))
 
-    def _anyone(self) -> Host | None:
-        up = [h for h in self.hosts.values() if h.node and not h.paused]
-        leaders = [h for h in up if h.node and h.node.raft.role is Role.LEADER]
+    def _pick_host(self) -> Host | None:
+        up = [candidate for candidate in self.hosts.values() if candidate.node and not candidate.paused]
+        leaders = [
+            candidate for candidate in up if candidate.node and candidate.node.raft.role is Role.LEADER
+        ]
         if leaders and self.rng.random() < 0.9:
             return self.rng.choice(leaders)
         return self.rng.choice(up) if up else None
 
     def _client(self) -> None:
         rng = self.rng
-        self.at(rng.expovariate(1 / 0.1), self._client)
-        open_ = [r for r in self.requests if not r.done]
-        if open_ and rng.random() < 0.5:
-            request = rng.choice(open_)  # after a time-out: the same change again, under its number
-        elif len(open_) < 8:
+        self.call_later(rng.expovariate(1 / 0.1), self._client)
+        unanswered = [pending for pending in self.requests if not pending.done]
+        if unanswered and rng.random() < 0.5:
+            request = rng.choice(unanswered)  # as after a time-out: the same change and number
+        elif len(unanswered) < 8:
             self.sessions += 1
             expect = self.acknowledged if rng.random() < 0.3 else None
             request = Request(f"s{self.sessions}", 1, f"text {self.sessions}", expect)
             self.requests.append(request)
         else:
             return
-        host = self._anyone()
+        host = self._pick_host()
         if host is None:
             return
 
@@ -317,7 +329,7 @@
             elif not isinstance(answer, LeadershipLost):
                 raise ViolationError(f"answer {answer}")
 
-        def ask() -> None:
+        def send_request() -> None:
             assert host.node
             try:
                 envelope = Envelope(request.session, request.number, Put(request.text, request.expect))
@@ -325,33 +337,33 @@
             except (NotLeaderError, BusyError):
                 pass
 
-        self._run(host, host.life, ask)
+        self._run(host, host.incarnation, send_request)
 
     def _reader(self) -> None:
-        self.at(self.rng.expovariate(1 / 0.2), self._reader)
-        host = self._anyone()
+        self.call_later(self.rng.expovariate(1 / 0.2), self._reader)
+        host = self._pick_host()
         if host:
             self._read(host)
 
     def _read(self, host: Host) -> None:
-        before, life = self.acknowledged, host.life
+        before, incarnation = self.acknowledged, host.incarnation
 
         def answered(answer: object) -> None:
-            if isinstance(answer, int) and host.life == life and host.node:
+            if isinstance(answer, int) and host.incarnation == incarnation and host.node:
                 latest = host.node.revision
                 if (latest.number if latest else 0) < before:
                     raise ViolationError(f"a read at {host.name} missed revision {before}")
 
-        def ask() -> None:
+        def send_request() -> None:
             assert host.node
             with contextlib.suppress(NotLeaderError, BusyError):
                 host.node.read(answered)
 
-        self._run(host, life, ask)
+        self._run(host, incarnation, send_request)
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         rng = self.rng
-        self.at(rng.expovariate(1 / 0.5), self._trouble)
+        self.call_later(rng.expovariate(1 / 0.5), self._inject_fault)
         host = rng.choice(list(self.hosts.values()))
         match rng.choice(
             ("crash", "power", "at", "pause", "pause", "cut", "one-way", "member", "transfer", "two")
@@ -364,20 +376,25 @@
                 for other in rng.sample(list(self.hosts.values()), 2):
                     if other.node:
                         self._crash(other, power=rng.random() < 0.5)
-            case "at" if host.node:  # in the middle of one of its next writes
+            case "at" if host.node:  # in the middle of a later write
                 host.files.crash_at = host.files.operations + rng.randint(1, 20)
             case "pause" if host.node and not host.paused:
                 self._pause(host)
             case "cut":
                 for name in self.hosts:
-                    self._cut(host.name, name, both=True)
+                    self._cut_link(host.name, name, both=True)
             case "one-way":
-                self._cut(host.name, rng.choice(list(self.hosts)), both=False)
+                self._cut_link(host.name, rng.choice(list(self.hosts)), both=False)
             case "member":
-                self._member()
+                self._change_membership()
             case "transfer":
                 leader = next(
-                    (h for h in self.hosts.values() if h.node and h.node.raft.role is Role.LEADER), None
+                    (
+                        candidate
+                        for candidate in self.hosts.values()
+                        if candidate.node and candidate.node.raft.role is Role.LEADER
+                    ),
+                    None,
                 )
                 if leader and leader.node and not leader.paused:
                     voters = leader.node.raft.membership.voters
@@ -387,45 +404,52 @@
     def _pause(self, host: Host) -> None:
         self.stats["pauses"] += 1
         host.paused = True
-        life = host.life
+        incarnation = host.incarnation
 
         def resume() -> None:
-            if host.life != life or not host.paused:
+            if host.incarnation != incarnation or not host.paused:
                 return
             host.paused = False
             backlog, host.backlog = host.backlog, []
-            if self.rng.random() < 0.5:  # it may act before it reads anything
-                self._act_once(host)
-            if self.rng.random() < 0.5:  # and a client that waited for it to come back is served first
+            if self.rng.random() < 0.5:  # it may act before it reads any message
+                self._check_act(host)
+            if self.rng.random() < 0.5:  # a waiting client may be served first
                 self._read(host)
             for work in backlog:
                 work()
 
-        self.at(self.rng.uniform(0.05, 2.5 * LEASE), resume)
+        self.call_later(self.rng.uniform(0.05, 2.5 * LEASE_S), resume)
 
-    def _act_once(self, host: Host) -> None:
+    def _check_act(self, host: Host) -> None:
         if self.may_act(host) and host.revision < self.acknowledged:
             raise ViolationError(f"stale act after a pause: {host.name} on {host.revision}")
 
-    def _cut(self, one: str, other: str, *, both: bool) -> None:
+    def _cut_link(self, source: str, target: str, *, both: bool) -> None:
         self.stats["cuts"] += 1
-        lines = {(one, other), (other, one)} if both else {(one, other)}
-        self.cuts |= lines
-        self.at(self.rng.uniform(0.1, 2.0), lambda: self.cuts.difference_update(lines))
-
-    def _member(self) -> None:
-        leader = next((h for h in self.hosts.values() if h.node and h.node.raft.role is Role.LEADER), None)
+        links = {(source, target), (target, source)} if both else {(source, target)}
+        self.cuts |= links
+        self.call_later(self.rng.uniform(0.1, 2.0), lambda: self.cuts.difference_update(links))
+
+    def _change_membership(self) -> None:
+        leader = next(
+            (
+                candidate
+                for candidate in self.hosts.values()
+                if candidate.node and candidate.node.raft.role is Role.LEADER
+            ),
+            None,
+        )
         if leader is None or leader.paused:
             return
         rng, node = self.rng, leader.node
         assert node
-        present = [m.id for m in node.raft.membership.members]
+        present = [member.id for member in node.raft.membership.members]
 
-        def work() -> None:
+        def change() -> None:
             try:
                 if self.spare and (len(present) < 4 or rng.random() < 0.5):
                     name = self.spare.pop()
-                    host = self._host(name, Membership())
+                    host = self._add_host(name, Membership())
                     self._start(host)
                     node.add(name, f"127.0.0.1:{name}", lambda answer: None)
                 elif len(present) > 2:
@@ -434,9 +458,9 @@
             except (NotLeaderError, BusyError, BadChangeError):
                 pass
 
-        self._run(leader, leader.life, work)
+        self._run(leader, leader.incarnation, change)
 
-    # The rules
+    # Invariants
 
     def _check(self, host: Host) -> None:
         node = host.node
@@ -446,27 +470,26 @@
             holder = self.leaders.setdefault(raft.term, host.name)
             if holder != host.name:
                 raise ViolationError(f"two leaders in term {raft.term}: {holder} and {host.name}")
-            if (raft.term, host.life) != host.led:
-                host.led = (raft.term, host.life)
+            if (raft.term, host.incarnation) != host.led:
+                host.led = (raft.term, host.incarnation)
                 self.stats["leaders"] += 1
-                self._complete(host)
-        self._match(host)
-        self._commits(host)
+                self._check_leader_completeness(host)
+        self._check_log_matching(host)
+        self._check_commits(host)
 
-    def _complete(self, host: Host) -> None:
-        """A new leader holds every entry that was committed in an earlier term than its own.
+    def _check_leader_completeness(self, host: Host) -> None:
+        """A new leader holds every entry that was committed in a term earlier than its own.
 
-        One that wins its term late, when a later one has its leader already, need not hold what that one
-        has."""
+        A leader that learns of its election late need not hold the entries of a later term's leader."""
         assert host.node
         raft = host.node.raft
         for index, (term, _) in self.committed.items():
-            late = self.committed_in[index] >= raft.term
-            if index > raft.log.base_index and raft.log.term(index) != term and not late:
+            committed_later = self.committed_in[index] >= raft.term
+            if index > raft.log.base_index and raft.log.term(index) != term and not committed_later:
                 raise ViolationError(f"leader {host.name} lacks the committed entry {index}")
 
-    def _match(self, host: Host) -> None:
-        """Same index and term: same entry, and the same before it."""
+    def _check_log_matching(self, host: Host) -> None:
+        """Log matching: the same index and term mean the same entry and the same predecessor."""
         assert host.node
         log = host.node.raft.log
         index = log.last_index
@@ -475,20 +498,20 @@
             if host.checked.get(index) == entry.term:
                 break
             host.checked[index] = entry.term
-            seen = self.entries.setdefault((index, entry.term), (entry.data, log.term(index - 1)))
-            if seen != (entry.data, log.term(index - 1)):
+            known = self.entries.setdefault((index, entry.term), (entry.data, log.term(index - 1)))
+            if known != (entry.data, log.term(index - 1)):
                 raise ViolationError(f"logs do not match at {index}, term {entry.term}")
             index -= 1
 
-    def _commits(self, host: Host) -> None:
+    def _check_commits(self, host: Host) -> None:
         assert host.node
         raft = host.node.raft
         start = max(raft.log.base_index, host.committed)
         for index in range(start + 1, raft.commit + 1):
             entry = raft.log.get(index)
-            seen = self.committed.setdefault(index, (entry.term, entry.data))
+            known = self.committed.setdefault(index, (entry.term, entry.data))
             self.committed_in.setdefault(index, raft.term)
-            if seen != (entry.term, entry.data):
+            if known != (entry.term, entry.data):
                 raise ViolationError(f"{host.name} committed another entry {index}")
         host.committed = max(host.committed, raft.commit)
         for revision in host.node.state_machine.history(3):
@@ -496,80 +519,90 @@
                 raise ViolationError(f"{revision.text} was applied twice")
 
     def heal(self) -> None:
-        """All troubles end: the cluster must come back, and hold all that was acknowledged."""
+        """Ends all faults: the cluster must recover and hold all that was acknowledged."""
         self.loss = self.repeat = 0.0
-        self._trouble = lambda: None  # type: ignore[method-assign]
+        self._inject_fault = lambda: None  # type: ignore[method-assign]
         self.cuts.clear()
         for host in self.hosts.values():
             host.files.crash_at = None
 
 
-def play(seed: int, replicas: int, seconds: float = 20.0, world: type[World] = World) -> World:
-    """One world; raises `ViolationError`."""
-    made = world(seed, replicas)
-    made.play(seconds)
-    made.heal()
-    before = made.stats["acks"]
-    made.play(seconds + 12.0)
-    if made.stats["acks"] <= before:
-        raise ViolationError("no change was acknowledged after all troubles had ended")
-    kept = {r.text for h in made.hosts.values() if h.node for r in h.node.state_machine.history()}
-    lost = made.acknowledged_texts.keys() - kept
+def run_world(seed: int, replicas: int, seconds: float = 20.0, world_class: type[World] = World) -> World:
+    """Runs one world, with faults for that many seconds and 12 s without. Raises `ViolationError`."""
+    world = world_class(seed, replicas)
+    world.run_until(seconds)
+    world.heal()
+    before = world.stats["acks"]
+    world.run_until(seconds + 12.0)
+    if world.stats["acks"] <= before:
+        raise ViolationError("no change was acknowledged after all faults had ended")
+    kept = {
+        revision.text
+        for host in world.hosts.values()
+        if host.node
+        for revision in host.node.state_machine.history()
+    }
+    lost = world.acknowledged_texts.keys() - kept
     if lost:
         raise ViolationError(f"acknowledged and lost: {sorted(lost)[:3]}")
-    return made
+    return world
 
 
-Row = tuple[int, dict[str, int], str]  # seed, what came of its world, and what it found
+Result = tuple[int, dict[str, int], str]  # seed, statistics of its world, violation or an empty text
 
 
-def row(seed: int, made: Callable[[], World]) -> Row:
-    """One world's row; empty figures for one that broke a rule."""
+def run_seed(seed: int, make_world: Callable[[], World]) -> Result:
+    """Makes and runs one world; its statistics are empty if it broke a rule."""
     try:
-        world = made()
+        world = make_world()
     except AssertionError as error:
         return seed, {}, f"{type(error).__name__}: {error}"
     return seed, world.stats | {"steps": world.steps}, ""
 
 
-def summed(rows: Sequence[Row], least: str = "") -> tuple[dict[str, int], list[str]]:
-    """Figures over all worlds (of `least` the lowest), and what was found, which is printed."""
-    for seed, _, why in [row for row in rows if row[2]][:20]:
-        print(f"seed {seed}: {why}", file=sys.stderr)
+def sum_results(results: Sequence[Result], minimum_key: str = "") -> tuple[dict[str, int], list[str]]:
+    """Sums the statistics (takes the minimum of `minimum_key`); prints and returns the violations."""
+    for seed, _, violation in [result for result in results if result[2]][:20]:
+        print(f"seed {seed}: {violation}", file=sys.stderr)
     totals: dict[str, int] = {}
-    for _, stats, _ in rows:
+    for _, stats, _ in results:
         for key, value in stats.items():
-            totals[key] = min(totals.get(key, value), value) if key == least else totals.get(key, 0) + value
-    return totals, [why for _, _, why in rows if why]
+            totals[key] = (
+                min(totals.get(key, value), value) if key == minimum_key else totals.get(key, 0) + value
+            )
+    return totals, [violation for _, _, violation in results if violation]
 
 
 def arguments(about: str | None) -> argparse.ArgumentParser:
+    """The options of the models of the store."""
     parser = argparse.ArgumentParser(description=about, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seeds", type=int, default=100)
     parser.add_argument("--first-seed", "--seed", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=20.0, help="of each world's own time")
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="simulated time of each world, with faults"
+    )
     parser.add_argument("--processes", "--jobs", type=int, default=None)
     return parser
 
 
-def _one(job: tuple[int, int, float]) -> Row:
-    return row(job[0], lambda: play(*job))
+def _run_job(job: tuple[int, int, float]) -> Result:
+    return run_seed(job[0], lambda: run_world(*job))
 
 
 def main() -> int:
-    wanted = arguments(__doc__).parse_args()
+    options = arguments(__doc__).parse_args()
     began = time.monotonic()
-    seeds = range(wanted.first_seed, wanted.first_seed + wanted.seeds)
-    jobs = [(seed, (3, 5)[seed % 2], wanted.seconds) for seed in seeds]
-    with ProcessPoolExecutor(wanted.processes) as pool:
-        totals, bad = summed(list(pool.map(_one, jobs)))
+    seeds = range(options.first_seed, options.first_seed + options.seeds)
+    jobs = [(seed, (3, 5)[seed % 2], options.seconds) for seed in seeds]
+    with ProcessPoolExecutor(options.processes) as pool:
+        totals, violations = sum_results(list(pool.map(_run_job, jobs)))
     line = {
         "benchmark": "store_model",
-        "seed": wanted.first_seed,
-        "ok": not bad,
-        "seeds": wanted.seeds,
-        "violations": len(bad),
-        "stale_acts": sum("stale act" in why for why in bad),
+        "seed": options.first_seed,
+        "ok": not violations,
+        "seeds": options.seeds,
+        "violations": len(violations),
+        "stale_acts": sum("stale act" in violation for violation in violations),
         **totals,
         "seconds": round(time.monotonic() - began, 1),
     }
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.store_model import Host, ViolationError, World, play
+from benchmarks.store_model import Host, ViolationError, World, run_world
 from harepick.store.disk.storage import Storage
 from harepick.store.raft.core import BusyError, NotLeaderError, Raft, Role, Writes
 from harepick.store.raft.messages import Message, PreVote, PreVoteReply, RequestVote
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_the_invariants_hold_under_faults(seed: int) -> None:
     """Crashes, pauses, partitions and lost messages; `World` checks the invariants in every step."""
-    world = play(seed, (3, 5)[seed % 2], 12.0)
+    world = run_world(seed, (3, 5)[seed % 2], 12.0)
     assert world.stats["acks"] > 20 and world.stats["acts"] > 200 and world.stats["leaders"] > 1
 
 
@@ -24,7 +24,7 @@
     """The message of the first seed that detects a violation."""
     for seed in range(seeds):
         try:
-            play(seed, 3, 20.0, world)
+            run_world(seed, 3, 20.0, world)
         except AssertionError as error:
             return str(error)
     raise AssertionError(f"{world.__name__}: not detected with {seeds} seeds")
@@ -126,7 +126,7 @@
     def first() -> tuple[int, str]:
         for seed in range(60):
             try:
-                play(seed, 3, 20.0, AcknowledgedUnadopted)
+                run_world(seed, 3, 20.0, AcknowledgedUnadopted)
             except ViolationError as error:
                 return seed, str(error)
         raise AssertionError("not detected")
@@ -147,7 +147,7 @@
 
     def _reader(self) -> None: ...
 
-    def _trouble(self) -> None: ...
+    def _inject_fault(self) -> None: ...
 
     def leader(self) -> Host:
         """The host that leads."""
@@ -159,10 +159,10 @@
         def ask() -> None:
             if answers:
                 return
-            self.at(0.25, ask)
+            self.call_later(0.25, ask)
             for host in list(self.hosts.values()):
                 if host.node and not host.paused:
-                    self._run(host, host.life, lambda host=host: self._ask(host, text, answers))  # type: ignore[misc]
+                    self._run(host, host.incarnation, lambda host=host: self._ask(host, text, answers))  # type: ignore[misc]
 
         ask()
 
@@ -186,14 +186,14 @@
     """
     for step in range(0, 90, 2):
         world = Quiet(7, 3)
-        world.play(2.0)
+        world.run_until(2.0)
         leader = world.leader()
         host = leader if role == "leader" else next(h for h in world.hosts.values() if h is not leader)
         answers: list[object] = []
         before = world.steps
         world.change("wanted", answers)
         while world.steps < before + step:
-            world.play(world.next_due())
+            world.run_until(world.next_due())
         if loss == "killed" or loss == "power":
             world._crash(host, power=loss == "power")
         elif loss == "paused":
@@ -201,9 +201,9 @@
         else:
             for other in world.hosts:
                 world.cuts.add((other, host.name) if loss == "deaf" else (host.name, other))
-        world.play(world.now + 6.0)
+        world.run_until(world.now + 6.0)
         assert len(set(map(str, answers))) == 1, (step, answers)
         world.cuts.clear()
-        world.play(world.now + 3.0)
+        world.run_until(world.now + 3.0)
         for each in world.hosts.values():
             assert each.node and [r.text for r in each.node.state_machine.history()] == ["wanted"], step
