--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -1,7 +1,7 @@
-"""What the fleet fault rig itself costs: the time its relay adds to a message, and its share of a processor.
+"""Measures the cost of the fleet fault rig: the latency that its relay adds, and its share of a processor.
 
-Plays five instances under a timeline of partitions, one-way cuts, pauses and kills. Meanwhile another process
-sends small frames over two connections to its own echo, in turn: one directly, one through the rig's relay.
+Runs five instances through partitions, one-way cuts, pauses and kills. Meanwhile another process sends small
+frames in turn over two connections to its own echo server: one direct, one through the rig's relay.
 
     python -m benchmarks.fleet_rig --instances 5 --seconds 60 --seed 1
 """
@@ -31,13 +31,13 @@
 from harepick.fleet.runner import ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 
-FRAME = (100).to_bytes(4, "big") + b"x" * 100  # about a heartbeat's size
-EVERY = 0.01  # seconds between two pings of one connection
-SKIPPED = 50  # first pings: connections and caches that warm up
+FRAME = (100).to_bytes(4, "big") + b"x" * 100  # about the size of a heartbeat
+PING_INTERVAL_S = 0.01  # between two pings of one connection
+WARM_UP_PINGS = 50  # of each connection, while connections and caches warm up
 
 
 def table(instances: int, seconds: float) -> dict[str, Any]:
-    """A fault of each kind, spread over the play."""
+    """The scenario: a fault of each kind, spread over its length."""
     part = seconds / 6
     half = part / 2
     faults: list[dict[str, Any]] = [
@@ -76,27 +76,27 @@
 
 
 def ping() -> int:
-    """The other process: tells its echo's port, is told the relay's, and tells round trips at the end."""
+    """The other process: prints its echo server's port, reads the relay's, and finally prints round trips."""
     echo = socket.create_server((HOST, 0))
     threading.Thread(target=_echo, args=(echo,), daemon=True).start()
     print(echo.getsockname()[1], flush=True)
     relayed = int(sys.stdin.readline())
-    lines = [socket.create_connection((HOST, port)) for port in (echo.getsockname()[1], relayed)]
-    for line in lines:
-        line.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    connections = [socket.create_connection((HOST, port)) for port in (echo.getsockname()[1], relayed)]
+    for connection in connections:
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     done = threading.Event()
     threading.Thread(target=_until_closed, args=(done,), daemon=True).start()
-    took: list[list[float]] = [[], []]
+    round_trips: list[list[float]] = [[], []]
     while not done.is_set():
-        for line, times in zip(lines, took, strict=True):
+        for connection, times in zip(connections, round_trips, strict=True):
             began = time.perf_counter()
-            line.sendall(FRAME)
-            left = len(FRAME)
-            while left:
-                left -= len(line.recv(left))
+            connection.sendall(FRAME)
+            remaining = len(FRAME)
+            while remaining:
+                remaining -= len(connection.recv(remaining))
             times.append((time.perf_counter() - began) * 1000)
-        time.sleep(EVERY)
-    print(orjson.dumps([times[SKIPPED:] for times in took]).decode(), flush=True)
+        time.sleep(PING_INTERVAL_S)
+    print(orjson.dumps([times[WARM_UP_PINGS:] for times in round_trips]).decode(), flush=True)
     return 0
 
 
@@ -109,41 +109,44 @@
     while True:
         peer, _ = listener.accept()
         peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        threading.Thread(target=_give_back, args=(peer,), daemon=True).start()
+        threading.Thread(target=_echo_peer, args=(peer,), daemon=True).start()
 
 
-def _give_back(peer: socket.socket) -> None:
+def _echo_peer(peer: socket.socket) -> None:
     with suppress(OSError):
         while data := peer.recv(4096):
             peer.sendall(data)
 
 
 class Pinger:
-    """Runs beside the play; `took` has the round trips in ms, directly and through the relay."""
+    """Runs the pinging process beside a scenario.
+
+    `round_trips` are in ms, the direct ones first, then those through the relay."""
 
     def __init__(self) -> None:
-        self.took: list[list[float]] = [[], []]
-        self.cpu = self.wall = 0.0
+        self.round_trips: list[list[float]] = [[], []]
+        self.cpu_s = self.wall_s = 0.0
 
-    async def beside(self, play: ScenarioRunner) -> None:
-        words = [sys.executable, "-m", "benchmarks.fleet_rig", "--ping"]
-        async with await anyio.open_process(words, cwd=ROOT, stderr=None, stdin=subprocess.PIPE) as process:
+    async def run_beside(self, runner: ScenarioRunner) -> None:
+        command = [sys.executable, "-m", "benchmarks.fleet_rig", "--ping"]
+        async with await anyio.open_process(command, cwd=ROOT, stderr=None, stdin=subprocess.PIPE) as process:
             assert process.stdin and process.stdout
             port = int((await process.stdout.receive()).decode())
-            through = await play.relay.port("echo", port, TOOL)  # faults of "*" leave it alone
-            await process.stdin.send(f"{through}\n".encode())
-            began, used = time.monotonic(), _cpu()
-            await anyio.sleep(play.seconds - 1.0)
-            self.cpu, self.wall = _cpu() - used, time.monotonic() - began
+            # Faults of "*" do not affect links of the tool.
+            relay_port = await runner.relay.port("echo", port, TOOL)
+            await process.stdin.send(f"{relay_port}\n".encode())
+            began, cpu_before = time.monotonic(), _cpu_seconds()
+            await anyio.sleep(runner.seconds - 1.0)
+            self.cpu_s, self.wall_s = _cpu_seconds() - cpu_before, time.monotonic() - began
             await process.stdin.aclose()
             text = b""
             with suppress(anyio.EndOfStream):
                 while True:
                     text += await process.stdout.receive()
-            self.took = orjson.loads(text)
+            self.round_trips = orjson.loads(text)
 
 
-def _cpu() -> float:
+def _cpu_seconds() -> float:
     own = resource.getrusage(resource.RUSAGE_SELF)
     return own.ru_utime + own.ru_stime
 
@@ -156,20 +159,20 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--instances", type=int, default=5)
     parser.add_argument("--ping", action="store_true", help=argparse.SUPPRESS)
-    wanted = parser.parse_args()
-    if wanted.ping:
+    options = parser.parse_args()
+    if options.ping:
         return ping()
     pinger = Pinger()
-    scenario = make_scenario(table(wanted.instances, wanted.seconds), "fleet_rig")
+    scenario = make_scenario(table(options.instances, options.seconds), "fleet_rig")
     with tempfile.TemporaryDirectory() as folder:
-        play = ScenarioRunner(scenario, wanted.seed, Path(folder), beside=pinger.beside)
-        report = anyio.run(play.run)
+        runner = ScenarioRunner(scenario, options.seed, Path(folder), beside=pinger.run_beside)
+        report = anyio.run(runner.run)
     for violation in report.told:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    direct, through = pinger.took
+    direct, relayed = pinger.round_trips
     quantiles = {
         f"rtt_{name}_ms_p{n}": round(percentile(times, n / 100), 3)
-        for name, times in (("direct", direct), ("relayed", through))
+        for name, times in (("direct", direct), ("relayed", relayed))
         for n in (50, 99)
     }
     added = {
@@ -180,13 +183,13 @@
     }
     line = {
         "benchmark": "fleet_rig",
-        "seed": wanted.seed,
-        "ok": report.ok and len(through) > wanted.seconds * 10,
-        "seconds": wanted.seconds,
+        "seed": options.seed,
+        "ok": report.ok and len(relayed) > options.seconds * 10,
+        "seconds": options.seconds,
         **added,
         **quantiles,
-        "pings": len(through),
-        "rig_cpu_share": round(pinger.cpu / max(pinger.wall, 0.001), 3),
+        "pings": len(relayed),
+        "rig_cpu_share": round(pinger.cpu_s / max(pinger.wall_s, 0.001), 3),
         **report.figures,
         "violations": report.violations,
         "error": report.error,
--- a/benchmarks/gap_fleet.py
+++ b/benchmarks/gap_fleet.py
@@ -1,6 +1,7 @@
-"""One gap over a real fleet: at most one call an interval passes at all instances together.
+"""One gap over a real fleet: at most one call per interval passes, at all instances together.
 
-Demand is skewed and moves, instances are killed and paused; every pass is written down with its slot.
+Demand is skewed and moves, and instances are killed, paused and cut off. Every call that passes is recorded
+with its slot.
 
     python -m benchmarks.gap_fleet --instances 3 --seconds 60 --seed 1
 """
@@ -21,13 +22,15 @@
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 
-LEASE = 1.0
-GAPPED, OTHER = "+9411", "+9455"
-SETTLED = 3.0  # seconds after a fault in which turns move
-RATES = {"even": 60.0, "skewed": 60.0, "thin": 6.0}  # look-ups a second to gapped numbers, over the fleet
+LEASE_S = 1.0
+GAPPED_PREFIX, OTHER_PREFIX = "+9411", "+9455"
+SETTLE_S = 3.0  # after a fault, while slots move between instances
+# To gapped numbers, over the fleet.
+LOOKUPS_PER_S = {"even": 60.0, "skewed": 60.0, "thin": 6.0}
 
 
 def table(instances: int, seconds: float, seed: int, interval: float, demand: str) -> dict[str, Any]:
+    """The scenario: the demand asked for, and faults of each kind in turn."""
     rng = Random(seed)
     kinds: list[dict[str, Any]] = [
         {"kind": "kill", "whom": "follower"},
@@ -48,22 +51,22 @@
             weights = [1.0] * instances
             weights[rng.randrange(instances)] = 10.0
             shifts.append({"at": 15.0 * n, "skew": weights})
-    rate = RATES[demand]
+    rate = LOOKUPS_PER_S[demand]
     return {
         "instances": instances,
         "servers": 2,
-        "lease_ms": LEASE * 1000,
+        "lease_ms": LEASE_S * 1000,
         "seconds": seconds,
-        "settings": f'[[gap]]\nid = "radio"\nprefix = "{GAPPED}"\ninterval_s = {interval}\n',
-        "load": {"rate": rate * 1.3, "numbers": {GAPPED: 1.0, OTHER: 0.3}, "shift": shifts},
+        "settings": f'[[gap]]\nid = "radio"\nprefix = "{GAPPED_PREFIX}"\ninterval_s = {interval}\n',
+        "load": {"rate": rate * 1.3, "numbers": {GAPPED_PREFIX: 1.0, OTHER_PREFIX: 0.3}, "shift": shifts},
         "fault": faults,
         "checks": {name: {} for name in ("one_answer", "one_leader_a_term", "complete", "no_crash")}
         | {"one_pass_a_slot": {"most": 1}},
     }
 
 
-def used(report: Report, interval: float, start: float, end: float) -> float:
-    """Share of the slots between two times, in seconds from the start, in which a call passed."""
+def used_share(report: Report, interval: float, start: float, end: float) -> float:
+    """Share of the slots in which a call passed, between two times in seconds from the start."""
     slots = {
         event["slot"]
         for event in report.events
@@ -80,34 +83,34 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--instances", type=int, default=3)
     parser.add_argument("--interval", type=float, default=0.5, help="seconds")
-    parser.add_argument("--demand", choices=sorted(RATES), default="skewed")
-    wanted = parser.parse_args()
-    made = table(wanted.instances, wanted.seconds, wanted.seed, wanted.interval, wanted.demand)
-    scenario = make_scenario(made, "gap_fleet")
+    parser.add_argument("--demand", choices=sorted(LOOKUPS_PER_S), default="skewed")
+    options = parser.parse_args()
+    scenario_table = table(options.instances, options.seconds, options.seed, options.interval, options.demand)
+    scenario = make_scenario(scenario_table, "gap_fleet")
     with tempfile.TemporaryDirectory() as folder:
-        report = anyio.run(ScenarioRunner(scenario, wanted.seed, Path(folder)).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, Path(folder)).run)
     for violation in report.told[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    wrong = trouble(report.events, report.start, report.seconds)
-    parts, at = [], 3.0
+    fault_periods = trouble(report.events, report.start, report.seconds)
+    steady_parts, at = [], 3.0
     while at + 2.0 <= report.seconds:
-        if not any(since - 0.5 <= at + 2.0 and at <= until + SETTLED for since, until in wrong):
-            parts.append(used(report, wanted.interval, at, at + 2.0))
+        if not any(since - 0.5 <= at + 2.0 and at <= until + SETTLE_S for since, until in fault_periods):
+            steady_parts.append(used_share(report, options.interval, at, at + 2.0))
         at += 2.0
     around = [
-        round(used(report, wanted.interval, since, min(until + SETTLED, report.seconds)), 3)
-        for since, until in wrong
+        round(used_share(report, options.interval, since, min(until + SETTLE_S, report.seconds)), 3)
+        for since, until in fault_periods
     ]
-    steady = sum(parts) / len(parts) if parts else 0.0
+    steady = sum(steady_parts) / len(steady_parts) if steady_parts else 0.0
     line = {
         "benchmark": "gap_fleet",
-        "seed": wanted.seed,
+        "seed": options.seed,
         "ok": report.ok and steady > 0.5,
-        "seconds": wanted.seconds,
-        "interval": wanted.interval,
-        "demand": wanted.demand,
+        "seconds": options.seconds,
+        "interval": options.interval,
+        "demand": options.demand,
         "used_share_steady": round(steady, 3),
-        "used_share_steady_min": round(min(parts, default=0.0), 3),
+        "used_share_steady_min": round(min(steady_parts, default=0.0), 3),
         "used_share_around_faults": around,
         **report.figures,
         "violations": report.violations,
--- a/benchmarks/heal_fleet.py
+++ b/benchmarks/heal_fleet.py
@@ -1,8 +1,8 @@
-"""Instances of a real fleet are lost until a majority of the first members is gone, and come back, in rounds.
+"""Rounds in which a real fleet loses a majority of its first members one by one and gets them back.
 
-In each round two of five go (killed, paused or cut off), the fleet drops them from the voters by itself,
-and then a third one goes: changes of the configuration must go on. Then all come back, and all have to vote
-again. With `--drop-after 0` nobody is dropped, and the third loss stops the store.
+In each round two of five instances are killed, paused or cut off. The fleet drops them from the voters by
+itself, then a third one is lost: changes of the configuration must still be possible. Then all come back and
+have to vote again. With `--drop-after 0` none is dropped, and the third loss stops the store.
 
     python -m benchmarks.heal_fleet --seconds 98 --seed 1
 """
@@ -22,66 +22,74 @@
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 
-INSTANCES, KEEP = 5, 3
-LEASE, DROP_AFTER = 0.6, 1.0
-FIRST, ROUND = 2.0, 24.0  # seconds
-# The third goes so long after the two: by then both are dropped. With the leader among them a lease, an
-# election and the new leader's wait come first; then DROP_AFTER, and for each three commits and some looks.
-THIRD = 7.0
-BACK = 18.0  # and here all come back
-# From here on the loss of the third is got over: an election, or, if it led and hangs, the tool's patience
-# with it and with others that hang.
-AWAY = THIRD + 6.0
+INSTANCES, KEEP_VOTERS = 5, 3
+LEASE_S, DROP_AFTER_S = 0.6, 1.0
+FIRST_ROUND_S, ROUND_S = 2.0, 24.0
+# The third instance is lost this long after the first two, which are dropped by then. If the leader was one
+# of them, a lease, an election and the new leader's wait come first; then `DROP_AFTER_S`, and for each
+# instance three commits and a few rounds of the manager.
+THIRD_LOSS_S = 7.0
+RETURN_S = 18.0  # when all come back
+# From here on changes must succeed: the loss of the third takes an election, and if it was the leader and is
+# paused, also the tool's time-outs for it and for other paused instances.
+RECOVERED_S = THIRD_LOSS_S + 6.0
 NAMES = "abcde"
 
 
 def rounds(seconds: float) -> list[float]:
-    """When each begins."""
-    return [FIRST + n * ROUND for n in range(int((seconds - FIRST) // ROUND))]
+    """Start of each round, in seconds from the start of the scenario."""
+    return [FIRST_ROUND_S + n * ROUND_S for n in range(int((seconds - FIRST_ROUND_S) // ROUND_S))]
 
 
 def table(seconds: float, seed: int, drop_after: float) -> dict[str, Any]:
+    """The scenario: three losses in each round, drawn from the seed."""
     rng = Random(seed)
     faults: list[dict[str, Any]] = []
     for at in rounds(seconds):
-        one, two, three = rng.sample(NAMES, 3)
-        for name, kind in ((one, rng.choice(("kill", "pause"))), (two, rng.choice(("kill", "pause", "cut")))):
+        first, second, third = rng.sample(NAMES, 3)
+        for name, kind in (
+            (first, rng.choice(("kill", "pause"))),
+            (second, rng.choice(("kill", "pause", "cut"))),
+        ):
             begin = at + rng.uniform(0.0, 0.4)
-            row = {"kind": kind, "whom": name, "at": begin, "for_s": at + BACK - begin}
+            row = {"kind": kind, "whom": name, "at": begin, "for_s": at + RETURN_S - begin}
             if kind == "cut":
                 row = {"kind": "partition", "groups": f"{{{name}}} | {{rest}}"} | {
                     "at": begin,
-                    "for_s": at + BACK - begin,
+                    "for_s": at + RETURN_S - begin,
                 }
             faults.append(row)
         kind = rng.choice(("kill", "pause"))
-        faults.append({"kind": kind, "whom": three, "at": at + THIRD, "for_s": BACK - THIRD})
+        faults.append(
+            {"kind": kind, "whom": third, "at": at + THIRD_LOSS_S, "for_s": RETURN_S - THIRD_LOSS_S}
+        )
     checks = ("no_stale_act", "no_stale_arrival", "no_ack_lost", "one_answer", "one_leader_a_term")
     return {
         "instances": INSTANCES,
         "servers": 2,
-        "lease_ms": LEASE * 1000,
+        "lease_ms": LEASE_S * 1000,
         "seconds": seconds,
-        "settings": f"[membership]\ndrop_after_s = {drop_after}\nkeep = {KEEP}\n",
+        "settings": f"[membership]\ndrop_after_s = {drop_after}\nkeep = {KEEP_VOTERS}\n",
         "load": {"rate": 100.0},
         "change": {"every_s": 0.25},
         "fault": faults,
-        "checks": {name: {} for name in (*checks, "complete", "no_crash")} | {"voters_kept": {"least": KEEP}},
+        "checks": {name: {} for name in (*checks, "complete", "no_crash")}
+        | {"voters_kept": {"least": KEEP_VOTERS}},
     }
 
 
-def acked(report: Report, start: float, end: float) -> int:
-    """Changes begun and acknowledged between two times, in seconds from the play's begin."""
-    begun = {e["note"]: e.mono - report.start for e in report.events if e.event == "change"}
+def acknowledged_changes(report: Report, start: float, end: float) -> int:
+    """Number of changes begun and acknowledged between two times, in seconds from the start."""
+    begun = {event["note"]: event.mono - report.start for event in report.events if event.event == "change"}
     return sum(
-        start <= begun.get(e["note"], -1.0) and e.mono - report.start <= end
-        for e in report.events
-        if e.event == "acked"
+        start <= begun.get(event["note"], -1.0) and event.mono - report.start <= end
+        for event in report.events
+        if event.event == "acked"
     )
 
 
-def whole(report: Report, since: float) -> float:
-    """Seconds until all vote again after `since`; infinite if they do not before the next round."""
+def seconds_until_all_vote(report: Report, since: float) -> float:
+    """Seconds from `since` until all instances vote; infinite if they never do."""
     for event in report.events:
         at = event.mono - report.start
         if event.event == "voters" and since <= at and len(event["voters"]) == INSTANCES:
@@ -95,28 +103,28 @@
     )
     parser.add_argument("--seconds", type=float, default=98.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--drop-after", type=float, default=DROP_AFTER, help="seconds; 0: never")
+    parser.add_argument("--drop-after", type=float, default=DROP_AFTER_S, help="seconds; 0: never")
     parser.add_argument("--keep", help="folder to keep histories and logs in")
-    wanted = parser.parse_args()
-    scenario = make_scenario(table(wanted.seconds, wanted.seed, wanted.drop_after), "heal_fleet")
-    with tempfile.TemporaryDirectory() as aside:
-        folder = Path(wanted.keep or aside)
+    options = parser.parse_args()
+    scenario = make_scenario(table(options.seconds, options.seed, options.drop_after), "heal_fleet")
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        report = anyio.run(ScenarioRunner(scenario, wanted.seed, folder).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, folder).run)
     for violation in report.told[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    starts = rounds(wanted.seconds)
-    went_on = [acked(report, at + AWAY, at + BACK) for at in starts]
-    back = [whole(report, at + BACK) for at in starts]
+    starts = rounds(options.seconds)
+    changes = [acknowledged_changes(report, at + RECOVERED_S, at + RETURN_S) for at in starts]
+    recovery_times = [seconds_until_all_vote(report, at + RETURN_S) for at in starts]
     line = {
         "benchmark": "heal_fleet",
-        "seed": wanted.seed,
-        "ok": report.ok and bool(starts) and min(went_on) > 0 and max(back) <= ROUND - BACK,
-        "seconds": wanted.seconds,
-        "drop_after_s": wanted.drop_after,
+        "seed": options.seed,
+        "ok": report.ok and bool(starts) and min(changes) > 0 and max(recovery_times) <= ROUND_S - RETURN_S,
+        "seconds": options.seconds,
+        "drop_after_s": options.drop_after,
         "rounds": len(starts),
-        "acked_with_three_of_five_gone": went_on,
-        "all_vote_again_s": [round(span, 2) for span in back],
+        "acked_with_three_of_five_gone": changes,
+        "all_vote_again_s": [round(seconds, 2) for seconds in recovery_times],
         **report.figures,
         "violations": report.violations,
         "error": report.error,
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -1,7 +1,7 @@
-"""One limit and some verdicts over a real fleet, with skewed and moving demand and faults in it.
+"""One limit and some verdicts over a real fleet, with skewed and moving demand, under faults.
 
-Look-ups come for more than the limit allows; every window of admissions is checked against the stated bound,
-and every verdict against the stated staleness. Look-ups that meet no limit go on beside them.
+More look-ups are offered than the limit allows. Every window of admissions is checked against the stated
+bound, and every verdict against the stated staleness. Look-ups that no limit applies to run beside them.
 
     python -m benchmarks.limit_fleet --instances 5 --seconds 120 --seed 1
 """
@@ -26,35 +26,35 @@
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 
-LEASE = 1.0  # seconds
-LIMIT = 60.0  # calls a second over the fleet
-BURST = 0.5  # seconds of it that may be saved up
-WINDOW = 1.0
-OFFERED = 3.0  # times the limit
-FREE = 0.3  # of the limit, in look-ups that meet none
-LIMITED, UNLIMITED, EACH = "+9411", "+9455", "+9477"
-# Of look-ups to `EACH` every caller may have so many a second; one wants far more, the others far less.
-PER_CALLER, CALLER_BURST = 20.0, 0.5
-CALLERS = {"127.0.1.1": 40.0, "127.0.1.2": 1.0, "127.0.1.3": 1.0, "127.0.1.4": 1.0}
-GREEDY = "127.0.1.1"
-SETTLED = 3.0  # seconds after a fault (or the start) in which shares move
-EVERY = 6.0  # seconds from one verdict to the next
-TTL = 2.0
-RATE = 1.04  # of the fastest clock
-# From a verdict's first being told until nobody acts against it: leases run out by the leader's measure, and
-# if the leader is lost with it, an election before that.
-STALE = 1.1 * LEASE + 1.5
+LEASE_S = 1.0
+LIMIT_PER_S = 60.0  # calls per second over the fleet
+BURST_S = 0.5  # seconds of a share that a bucket holds
+WINDOW_S = 1.0
+OFFERED_LOAD = 3.0  # as a multiple of the limit
+UNLIMITED_LOAD = 0.3  # look-ups that no limit applies to, as a multiple of the limit
+LIMITED_PREFIX, FREE_PREFIX, CALLER_PREFIX = "+9411", "+9455", "+9477"
+# Look-ups to `CALLER_PREFIX` are limited for each caller. One caller offers far more, the others far less.
+CALLER_LIMIT_PER_S, CALLER_BURST_S = 20.0, 0.5
+OFFERED_PER_S_BY_CALLER = {"127.0.1.1": 40.0, "127.0.1.2": 1.0, "127.0.1.3": 1.0, "127.0.1.4": 1.0}
+GREEDY_CALLER = "127.0.1.1"
+SETTLE_S = 3.0  # after a fault or the start, while shares move
+VERDICT_INTERVAL_S = 6.0  # from one verdict to the next
+VERDICT_TTL_S = 2.0  # time to live of a verdict
+MAX_CLOCK_RATE = 1.04
+# From a verdict's first report until no instance acts against it: leases have to expire by the leader's
+# clock, and if the leader is lost at that moment, an election comes first.
+MAX_STALENESS_S = 1.1 * LEASE_S + 1.5
 
 
 def epsilon(instances: int) -> float:
-    """What may be over the limit in a window: a call of each instance, and the burst."""
-    return instances + LIMIT * BURST
+    """Admissions allowed above the limit in a window: one call of each instance, and the burst."""
+    return instances + LIMIT_PER_S * BURST_S
 
 
 def table(instances: int, seconds: float, seed: int) -> dict[str, Any]:
-    """Skewed demand that moves every ten seconds, and a fault of each kind by turns."""
+    """The scenario: skewed demand that moves every ten seconds, and faults of each kind in turn."""
     rng = Random(seed)
-    part = 12.0
+    fault_interval = 12.0
     kinds: list[dict[str, Any]] = [
         {"kind": "partition", "groups": "{a} | {rest}" if instances < 5 else "{a, b} | {rest}"},
         {"kind": "pause", "whom": "follower"},
@@ -69,7 +69,7 @@
     while at + 10.0 < seconds:
         row = dict(kinds[len(faults) % len(kinds)])
         faults.append(row | {"at": [at, at + 1.0], "for_s": [2.0, 4.0]})
-        at += part
+        at += fault_interval
     shifts = []
     for n in range(1, int(seconds // 10) + 1):
         weights = [rng.choice((0.0, 1.0, 1.0, 4.0)) for _ in range(instances)]
@@ -79,104 +79,126 @@
     return {
         "instances": instances,
         "servers": 3,
-        "lease_ms": LEASE * 1000,
+        "lease_ms": LEASE_S * 1000,
         "seconds": seconds,
-        "settings": f'[[limit]]\nid = "appeal"\nper_s = {LIMIT}\nburst_s = {BURST}\nprefix = "{LIMITED}"\n'
-        f'[[limit]]\nid = "desk"\neach = "caller"\nper_s = {PER_CALLER}\nburst_s = {CALLER_BURST}\n'
-        f'prefix = "{EACH}"\n',
+        "settings": f'[[limit]]\nid = "appeal"\nper_s = {LIMIT_PER_S}\nburst_s = {BURST_S}\n'
+        f'prefix = "{LIMITED_PREFIX}"\n'
+        f'[[limit]]\nid = "desk"\neach = "caller"\nper_s = {CALLER_LIMIT_PER_S}\nburst_s = {CALLER_BURST_S}\n'
+        f'prefix = "{CALLER_PREFIX}"\n',
         "load": {
-            "rate": LIMIT * (OFFERED + FREE) + sum(CALLERS.values()),
-            "numbers": {LIMITED: OFFERED, UNLIMITED: FREE, EACH: sum(CALLERS.values()) / LIMIT},
-            "callers": CALLERS,
+            "rate": LIMIT_PER_S * (OFFERED_LOAD + UNLIMITED_LOAD) + sum(OFFERED_PER_S_BY_CALLER.values()),
+            "numbers": {
+                LIMITED_PREFIX: OFFERED_LOAD,
+                FREE_PREFIX: UNLIMITED_LOAD,
+                CALLER_PREFIX: sum(OFFERED_PER_S_BY_CALLER.values()) / LIMIT_PER_S,
+            },
+            "callers": OFFERED_PER_S_BY_CALLER,
             "shift": shifts,
         },
-        # As far apart as clocks may be: 10% is the fence's.
+        # Almost as far apart as clocks may be: leases allow 10%.
         "clock_rate": {"a": 1.04, "b": 0.96},
         "fault": faults,
         "checks": {name: {} for name in names}
         | {
-            "admissions": {"per_s": RATE * LIMIT, "window_s": WINDOW, "epsilon": epsilon(instances)},
+            "admissions": {
+                "per_s": MAX_CLOCK_RATE * LIMIT_PER_S,
+                "window_s": WINDOW_S,
+                "epsilon": epsilon(instances),
+            },
             "admissions_by_caller": {
-                "per_s": RATE * PER_CALLER,
-                "window_s": WINDOW,
-                "epsilon": instances + PER_CALLER * CALLER_BURST,
+                "per_s": MAX_CLOCK_RATE * CALLER_LIMIT_PER_S,
+                "window_s": WINDOW_S,
+                "epsilon": instances + CALLER_LIMIT_PER_S * CALLER_BURST_S,
             },
-            "verdict_staleness": {"bound_s": STALE},
+            "verdict_staleness": {"bound_s": MAX_STALENESS_S},
         },
     }
 
 
-async def verdicts(play: ScenarioRunner) -> None:
-    """Every few seconds one server is judged to have failed, for a while; every third time the leader is lost
-    in the same moment."""
-    rng = Random(play.seed)
-    async with play.client() as client:
-        begun = anyio.current_time()
+async def issue_verdicts(runner: ScenarioRunner) -> None:
+    """Issues a verdict that a server has failed every few seconds.
+
+    Every third time the leader is killed at the same moment."""
+    rng = Random(runner.seed)
+    async with runner.client() as client:
+        began = anyio.current_time()
         await anyio.sleep(4.0)
         for n in count():
-            if anyio.current_time() - begun > play.seconds - EVERY:
+            if anyio.current_time() - began > runner.seconds - VERDICT_INTERVAL_S:
                 return
-            subject = f"s{rng.randrange(play.scenario.servers)}"
+            subject = f"s{rng.randrange(runner.scenario.servers)}"
             async with anyio.create_task_group() as tasks:
                 if n % 3 == 2:
-                    tasks.start_soon(lose_leader, play, rng.uniform(0.0, 0.02))
+                    tasks.start_soon(kill_leader, runner, rng.uniform(0.0, 0.02))
                 await call_until_answered(
-                    client, "verdict_judge", {"kind": "failed", "subject": subject, "ttl": TTL}
+                    client, "verdict_judge", {"kind": "failed", "subject": subject, "ttl": VERDICT_TTL_S}
                 )
-            await anyio.sleep(EVERY)
+            await anyio.sleep(VERDICT_INTERVAL_S)
 
 
-async def lose_leader(play: ScenarioRunner, after: float) -> None:
-    """Kills whoever leads, in the middle of what is being settled, and starts it again."""
+async def kill_leader(runner: ScenarioRunner, after: float) -> None:
+    """Kills the leader `after` that many seconds, while a verdict is being committed, and restarts it."""
     await anyio.sleep(after)
-    if leader := play.role("leader"):
-        await play.apply_fault("kill", play.instances[leader])
+    if leader := runner.role("leader"):
+        await runner.apply_fault("kill", runner.instances[leader])
         await anyio.sleep(1.0)
-        await play.apply_fault("start", play.instances[leader])
+        await runner.apply_fault("start", runner.instances[leader])
 
 
-def used(report: Report, admitted: Sequence[Event], start: float, end: float) -> float:
-    """Share of the limit that was used between two times."""
+def used_share(report: Report, admitted: Sequence[Event], start: float, end: float) -> float:
+    """Share of the limit that was used between two times, in seconds from the start."""
     count = sum(start <= event.mono - report.start < end for event in admitted)
-    return count / (LIMIT * (end - start)) if end > start else 0.0
+    return count / (LIMIT_PER_S * (end - start)) if end > start else 0.0
 
 
 def caller_share(admitted: Sequence[Event], seconds: float) -> float:
-    """Share of its limit that one caller had, faults and all."""
-    return round(len(admitted) / (PER_CALLER * seconds), 3)
+    """Share of its limit that one caller used over the whole run, faults included."""
+    return round(len(admitted) / (CALLER_LIMIT_PER_S * seconds), 3)
 
 
-def figures(report: Report) -> dict[str, Any]:
-    rows = [event for event in report.events if event.event == "admitted"]
-    admitted = [event for event in rows if event["limit"] == "appeal"]
-    greedy = [event for event in rows if event["limit"] == f"desk@{GREEDY}"]
-    wrong = trouble(report.events, report.start, report.seconds)
-    steady_parts, at = [], SETTLED + 2.0
+def statistics(report: Report) -> dict[str, Any]:
+    """The benchmark's own part of the JSON line."""
+    all_admitted = [event for event in report.events if event.event == "admitted"]
+    admitted = [event for event in all_admitted if event["limit"] == "appeal"]
+    greedy = [event for event in all_admitted if event["limit"] == f"desk@{GREEDY_CALLER}"]
+    fault_periods = trouble(report.events, report.start, report.seconds)
+    steady_parts, at = [], SETTLE_S + 2.0
     while at + 1.0 <= report.seconds:
-        if not any(since - 0.5 <= at + 1.0 and at <= until + SETTLED for since, until in wrong):
-            steady_parts.append(used(report, admitted, at, at + 1.0))
+        if not any(since - 0.5 <= at + 1.0 and at <= until + SETTLE_S for since, until in fault_periods):
+            steady_parts.append(used_share(report, admitted, at, at + 1.0))
         at += 1.0
-    around = [used(report, admitted, since, min(until, report.seconds) + SETTLED) for since, until in wrong]
-    calm = [
+    around = [
+        used_share(report, admitted, since, min(until, report.seconds) + SETTLE_S)
+        for since, until in fault_periods
+    ]
+    steady_lookups = [
         event
         for event in report.events
         if event.event == "lookup"
         and event["answers"]
         and 5.0 < event.mono - report.start < report.seconds
-        and not any(a - 0.5 <= event.mono - report.start <= b + SETTLED for a, b in wrong)
+        and not any(
+            start - 0.5 <= event.mono - report.start <= end + SETTLE_S for start, end in fault_periods
+        )
+    ]
+    refused = [event for event in steady_lookups if event["prefix"] == FREE_PREFIX and event["rcode"] != 0]
+    light = [
+        event
+        for event in steady_lookups
+        if event["prefix"] == CALLER_PREFIX and event["caller"] != GREEDY_CALLER
     ]
-    refused = [event for event in calm if event["prefix"] == UNLIMITED and event["rcode"] != 0]
-    light = [event for event in calm if event["prefix"] == EACH and event["caller"] != GREEDY]
     return {
-        "limit": LIMIT,
+        "limit": LIMIT_PER_S,
         "bound": epsilon(report.figures.get("instances", 0)),
-        "window_s": WINDOW,
-        "stale_bound_ms": STALE * 1000,
+        "window_s": WINDOW_S,
+        "stale_bound_ms": MAX_STALENESS_S * 1000,
         "admitted": len(admitted),
-        "per_caller": PER_CALLER,
+        "per_caller": CALLER_LIMIT_PER_S,
         "greedy_used_share": caller_share(greedy, report.seconds),
         "light_lookups": len(light),
-        "light_refused_share": round(sum(e["rcode"] != 0 for e in light) / len(light), 4) if light else 0.0,
+        "light_refused_share": round(sum(lookup["rcode"] != 0 for lookup in light) / len(light), 4)
+        if light
+        else 0.0,
         "used_share_steady": round(sum(steady_parts) / len(steady_parts), 3) if steady_parts else 0.0,
         "used_share_steady_min": round(min(steady_parts, default=0.0), 3),
         "steady_seconds": len(steady_parts),
@@ -193,21 +215,21 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--instances", type=int, default=5)
     parser.add_argument("--keep", help="folder to keep histories and logs in")
-    wanted = parser.parse_args()
-    scenario = make_scenario(table(wanted.instances, wanted.seconds, wanted.seed), "limit_fleet")
-    with tempfile.TemporaryDirectory() as aside:
-        folder = Path(wanted.keep or aside)
+    options = parser.parse_args()
+    scenario = make_scenario(table(options.instances, options.seconds, options.seed), "limit_fleet")
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        report = anyio.run(ScenarioRunner(scenario, wanted.seed, folder, beside=verdicts).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=issue_verdicts).run)
     for violation in report.told[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    found = figures(report)
+    result = statistics(report)
     line = {
         "benchmark": "limit_fleet",
-        "seed": wanted.seed,
-        "ok": report.ok and not found["calls_refused_wrongly"] and found["used_share_steady"] > 0.8,
-        "seconds": wanted.seconds,
-        **found,
+        "seed": options.seed,
+        "ok": report.ok and not result["calls_refused_wrongly"] and result["used_share_steady"] > 0.8,
+        "seconds": options.seconds,
+        **result,
         **report.figures,
         "violations": report.violations,
         "error": report.error,
--- a/benchmarks/maint_fleet.py
+++ b/benchmarks/maint_fleet.py
@@ -1,8 +1,9 @@
-"""Rolling maintenance of every server and some controllers of a real fleet, with faults in the middle.
+"""Rolling maintenance of every server and some controllers of a real fleet, under faults.
 
-The instances settle the order; an operator's tool asks for all machines at once, restarts or leaves alone
-what is out, and says when it is done. Callers follow the instances' readiness, servers fail, and the plan
-changes in the middle. What stand-in servers saw and what instances wrote down is checked.
+The operator's tool requests maintenance of all machines at once, restarts or leaves alone each one that is
+out, and reports when it is done; the instances decide the order. Callers follow the readiness of the
+instances, servers fail, and the settings of maintenance change meanwhile. Checked is what the fake servers
+received and what the instances recorded.
 
     python -m benchmarks.maint_fleet --instances 5 --servers 6 --seconds 120 --seed 1
 """
@@ -24,12 +25,12 @@
 from harepick.fleet.scenario import make_scenario
 
 MAX_OUT = 2
-PART = 12.0  # seconds from one fault to the next
-FLEET = ("no_fresh_to_out", "no_fresh_from_out", "handover", "within_plan")
+FAULT_INTERVAL_S = 12.0
+FLEET_CHECKS = ("no_fresh_to_out", "no_fresh_from_out", "handover", "within_plan")
 
 
 def table(instances: int, servers: int, seconds: float, seed: int) -> dict[str, Any]:
-    """A fault every `PART` seconds, in an order that the seed draws."""
+    """The scenario: a fault every `FAULT_INTERVAL_S` seconds, in an order drawn from the seed."""
     rng = Random(seed)
     kinds: list[dict[str, Any]] = [
         {"kind": "link", "from": "leader", "to": "*", "drop": True},
@@ -53,12 +54,12 @@
     ]
     faults: list[dict[str, Any]] = []
     at = 2.0
-    while at + PART / 2 < seconds:
+    while at + FAULT_INTERVAL_S / 2 < seconds:
         if not faults or not kinds:
             rng.shuffle(kinds)
         row = dict(kinds[len(faults) % len(kinds)])
-        faults.append(row | {"at": [at, at + 2.0], "for_s": [2.0, PART / 2]})
-        at += PART
+        faults.append(row | {"at": [at, at + 2.0], "for_s": [2.0, FAULT_INTERVAL_S / 2]})
+        at += FAULT_INTERVAL_S
     names = ("no_stale_act", "no_stale_arrival", "no_ack_lost", "one_answer", "one_leader_a_term")
     return {
         "scenario": "maint_fleet",
@@ -69,10 +70,10 @@
         "settings": '[[maintenance.group]]\nname = "north"\nservers = ["s0", "s1"]\n'
         f"[maintenance]\nmax_out_controllers = 1\nfloor = {servers - MAX_OUT}\nhandover_s = 1.0\n",
         "load": {"rate": 30 * instances, "follow": True},
-        # The plan changes as well, a revision after another.
+        # The settings of maintenance change as well, revision by revision.
         "change": {"every_s": 1.0, "settings": [f"max_out = {n}" for n in (MAX_OUT, MAX_OUT, 1)]},
         "fault": faults,
-        "checks": {name: {} for name in (*names, "complete", "no_crash", *FLEET)}
+        "checks": {name: {} for name in (*names, "complete", "no_crash", *FLEET_CHECKS)}
         | {"most_out": {"servers": MAX_OUT, "controllers": 1}, "above_floor": {"recovers_s": 5.0}},
     }
 
@@ -86,32 +87,32 @@
     parser.add_argument("--instances", type=int, default=5)
     parser.add_argument("--servers", type=int, default=6)
     parser.add_argument("--keep", help="folder to keep histories and logs in")
-    wanted = parser.parse_args()
+    options = parser.parse_args()
     scenario = make_scenario(
-        table(wanted.instances, wanted.servers, wanted.seconds, wanted.seed), "maint_fleet"
+        table(options.instances, options.servers, options.seconds, options.seed), "maint_fleet"
     )
-    rounds = max(1, int(wanted.seconds // 40))
-    rng = Random(wanted.seed)
-    machines = [f"server:s{n}" for n in range(wanted.servers)]
-    machines += [f"controller:{name}" for name in rng.sample(scenario.names, min(2, wanted.instances // 2))]
+    rounds = max(1, int(options.seconds // 40))
+    rng = Random(options.seed)
+    machines = [f"server:s{n}" for n in range(options.servers)]
+    machines += [f"controller:{name}" for name in rng.sample(scenario.names, min(2, options.instances // 2))]
     rng.shuffle(machines)
-    upkeep = MaintenanceRounds(machines, work=1.0, rounds=rounds)
-    with tempfile.TemporaryDirectory() as aside:
-        folder = Path(wanted.keep or aside)
+    maintenance = MaintenanceRounds(machines, work=1.0, rounds=rounds)
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        report = anyio.run(ScenarioRunner(scenario, wanted.seed, folder, beside=upkeep.run).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=maintenance.run).run)
     for violation in report.told:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
         for event in violation.stretch[:5]:
             print(f"    {event.told(report.start)}", file=sys.stderr)
-    finished = upkeep.asked == upkeep.done == rounds * len(machines)
+    finished = maintenance.asked == maintenance.done == rounds * len(machines)
     line = {
         "benchmark": "maint_fleet",
-        "seed": wanted.seed,
+        "seed": options.seed,
         "ok": report.ok and finished,
-        "seconds": wanted.seconds,
+        "seconds": options.seconds,
         "max_out": MAX_OUT,
-        "asked": upkeep.asked,
+        "asked": maintenance.asked,
         "finished": finished,
         "calls_lost": report.figures.get("unanswered"),
         **report.figures,
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -1,7 +1,7 @@
-"""What the ordinary path of a call costs in the core, against another checkout of the program in one run.
+"""Measures the cost of an ordinary call in the core, compared with another checkout of the program.
 
-A look-up is offered, sent to a stand-in port, answered and over; no gap, limit or verdict is set. Both
-checkouts run in processes of their own, by turns, and the ratio of their medians is told.
+A look-up is offered, sent to a fake port, answered and over; no gap, limit or verdict is set. The two
+checkouts run by turns in processes of their own; the result is the ratio of their medians.
 
     python -m benchmarks.path_cost --against ../before --rounds 15
 """
@@ -21,7 +21,7 @@
 CALLS = 4_000
 MAX_RATIO = 1.05
 
-# Run in either checkout: names that one of them lacks are looked up under both.
+# Runs in either checkout, so names that differ between them are looked up under both.
 WORK = """
 import sys, time
 from harepick import interface as i
@@ -85,9 +85,9 @@
 """
 
 
-def once(checkout: Path) -> float:
-    """Microseconds of a call."""
-    done = subprocess.run(
+def measure_checkout(checkout: Path) -> float:
+    """Runs `WORK` in a checkout; returns the microseconds per call."""
+    result = subprocess.run(
         [sys.executable, "-c", WORK, str(CALLS)],
         cwd=checkout,
         env=os.environ | {"PYTHONPATH": str(checkout)},
@@ -96,7 +96,7 @@
         timeout=120,
         check=True,
     )
-    return float(done.stdout)
+    return float(result.stdout)
 
 
 def main() -> int:
@@ -105,24 +105,24 @@
     )
     parser.add_argument("--against", required=True, type=Path, help="root of the other checkout")
     parser.add_argument("--rounds", type=int, default=15)
-    parser.add_argument("--seed", type=int, default=1, help="told only: nothing here is drawn")
-    wanted = parser.parse_args()
-    mine: list[float] = []
-    other: list[float] = []
+    parser.add_argument("--seed", type=int, default=1, help="only printed: the benchmark draws nothing")
+    options = parser.parse_args()
+    own_us: list[float] = []
+    other_us: list[float] = []
     began = time.monotonic()
-    for _ in range(wanted.rounds):
-        mine.append(once(ROOT))
-        other.append(once(wanted.against.resolve()))
-    ratio = percentile(mine, 0.5) / percentile(other, 0.5)
+    for _ in range(options.rounds):
+        own_us.append(measure_checkout(ROOT))
+        other_us.append(measure_checkout(options.against.resolve()))
+    ratio = percentile(own_us, 0.5) / percentile(other_us, 0.5)
     line = {
         "benchmark": "path_cost",
-        "seed": wanted.seed,
+        "seed": options.seed,
         "ok": ratio <= MAX_RATIO,
-        "us_per_call": round(percentile(mine, 0.5), 2),
-        "us_per_call_before": round(percentile(other, 0.5), 2),
+        "us_per_call": round(percentile(own_us, 0.5), 2),
+        "us_per_call_before": round(percentile(other_us, 0.5), 2),
         "ratio": round(ratio, 3),
         "most_ratio": MAX_RATIO,
-        "rounds": wanted.rounds,
+        "rounds": options.rounds,
         "took_s": round(time.monotonic() - began, 1),
     }
     return print_line(line)
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -1,9 +1,8 @@
-"""Real daemons on one store, killed, paused and restarted at random while the configuration changes all the
-time.
+"""Runs real daemons on one store and kills, pauses and restarts them while the configuration keeps changing.
 
-Every revision names an upstream of its own, so that each query that arrives tells which revision it was sent
-under, and the kernel's time stamp tells when. An arrival after a later revision's acknowledgement is a stale
-act.
+Every revision names an upstream of its own, so a query's destination shows under which revision it was sent,
+and the kernel's time stamp shows when it arrived. An arrival after the acknowledgement of a later revision is
+a stale act.
 
     python -m benchmarks.store_chaos --seconds 600 --seed 1 --instances 3
 """
@@ -35,24 +34,25 @@
 from harepick.settings import parse_address
 from harepick.store.client import StoreClient, StoreError
 
-UPSTREAMS = 400  # a revision's upstream comes round again only after so many others
-RATE = 60.0  # look-ups a second at each instance
-PACE = 0.15  # seconds between an acknowledgement and the next change, at most
-ANSWER = 2.6  # seconds that a look-up may take: the deadline, and what a busy machine adds
+UPSTREAM_COUNT = 400  # change n names the upstream n modulo this count
+LOOKUPS_PER_S = 60.0  # at each instance
+MAX_CHANGE_PAUSE_S = 0.15  # from an acknowledgement to the next change
+MAX_ANSWER_S = 2.6  # most time that a look-up may take: the deadline, and what a busy machine adds
 
 
-class Changer(threading.Thread):
-    """Changes the configuration, one change after another; each names upstream n of its own."""
+class ConfigChanger(threading.Thread):
+    """Changes the configuration, one change after another; change n names upstream n."""
 
     def __init__(self, cluster: Cluster, ports: list[int], seed: int) -> None:
         super().__init__(daemon=True)
         self.cluster, self.ports, self.rng = cluster, ports, Random(seed)
-        self.acks: list[tuple[float, int, int]] = []  # when, n, revision
-        self.took: list[tuple[float, float]] = []  # when it was begun, and how long it took
+        self.acks: list[tuple[float, int, int]] = []  # (Unix time, n, revision)
+        self.took: list[tuple[float, float]] = []  # (Unix time of its start, seconds)
         self.done = threading.Event()
         self.failed = ""
 
     def text(self, n: int) -> str:
+        """The configuration of change n."""
         return config_text((f"u{n}", self.ports[n % len(self.ports)]))
 
     def run(self) -> None:
@@ -63,71 +63,72 @@
             raise
 
     async def _run(self) -> None:
-        addresses = [parse_address(f"{HOST}:{d.store_port}", "at") for d in self.cluster.daemons]
+        addresses = [parse_address(f"{HOST}:{daemon.store_port}", "at") for daemon in self.cluster.daemons]
         self.rng.shuffle(addresses)
         async with StoreClient(self.cluster.name, addresses) as client:
             n = 1
             while not self.done.is_set():
                 began = time.time()
-                while True:  # one number of the session until its answer is known, so that none is doubled
+                while True:  # repeated under one session number until answered, so that none is applied twice
                     try:
                         arguments = {"text": self.text(n), "note": f"n={n}"}
-                        found = await client.call("set", arguments, 50.0)
+                        answer = await client.call("set", arguments, 50.0)
                         break
                     except StoreError as error:
                         if error.code in ("invalid", "bad_request", "conflict", "refused"):
                             raise
                         client.repeat_last()
-                self.acks.append((time.time(), n, found["revision"]))
+                self.acks.append((time.time(), n, answer["revision"]))
                 self.took.append((began, time.time() - began))
                 n += 1
-                await anyio.sleep(self.rng.uniform(0.0, PACE))
+                await anyio.sleep(self.rng.uniform(0.0, MAX_CHANGE_PAUSE_S))
 
 
-class Trouble:
-    """Kills, pauses and restarts, as the seed says; keeps when each instance was running."""
+class FaultInjector:
+    """Kills, pauses and restarts instances as the seed says; records when each was not running."""
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster, self.rng = cluster, Random(seed)
         self.kills = self.pauses = 0
         self.losses: list[float] = []
-        self.away: dict[str, list[tuple[float, float]]] = {d.name: [] for d in cluster.daemons}
-        self._due: list[tuple[float, str, Daemon, float]] = []  # when, what, whom, away since
+        self.absences: dict[str, list[tuple[float, float]]] = {daemon.name: [] for daemon in cluster.daemons}
+        self._due: list[tuple[float, str, Daemon, float]] = []  # (due, action, daemon, away since)
 
-    def play(self, until: float) -> None:
-        next_one = time.time() + 1.0
+    def run(self, until: float) -> None:
+        """Injects faults until that Unix time, then brings all instances back."""
+        next_fault_at = time.time() + 1.0
         while (now := time.time()) < until:
-            for row in [r for r in self._due if r[0] <= now]:
+            for row in [entry for entry in self._due if entry[0] <= now]:
                 self._due.remove(row)
-                self._back(row)
-            if now >= next_one:
-                next_one = now + self.rng.uniform(0.3, 4.0)
-                self._hit()
+                self._bring_back(row)
+            if now >= next_fault_at:
+                next_fault_at = now + self.rng.uniform(0.3, 4.0)
+                self._inject_fault()
             time.sleep(0.02)
         for row in self._due:
-            self._back(row)
+            self._bring_back(row)
         self._due.clear()
 
     def majority(self, start: float, end: float) -> bool:
-        """Whether more than half were running at every moment between, counting one that starts as away."""
-        rows = [row for rows in self.away.values() for row in rows]
-        moments = [start, *(since for since, _ in rows if start <= since <= end)]
-        away = [sum(since <= at < back for since, back in rows) for at in moments]
-        return 2 * max(away) < len(self.away)
+        """Whether more than half were running all the time between; a starting instance counts as away."""
+        intervals = [interval for intervals in self.absences.values() for interval in intervals]
+        moments = [start, *(since for since, _ in intervals if start <= since <= end)]
+        away_counts = [sum(since <= moment < back for since, back in intervals) for moment in moments]
+        return 2 * max(away_counts) < len(self.absences)
 
-    def _back(self, row: tuple[float, str, Daemon, float]) -> None:
-        _, what, daemon, since = row
-        if what == "start":
+    def _bring_back(self, row: tuple[float, str, Daemon, float]) -> None:
+        _, action, daemon, since = row
+        if action == "start":
             daemon.start()
             ready = len(daemon.events("serving"))
             while len(daemon.events("serving")) == ready and time.time() < daemon.started + 10:
                 time.sleep(0.01)
         else:
             daemon.resume()
-        self.away[daemon.name].append((since, time.time()))
+        self.absences[daemon.name].append((since, time.time()))
 
-    def _hit(self) -> None:
-        up = [d for d in self.cluster.daemons if d.up]
+    def _inject_fault(self) -> None:
+        up = [candidate for candidate in self.cluster.daemons if candidate.up]
         count = 2 if self.rng.random() < 0.25 else 1
         for daemon in self.rng.sample(up, min(count, len(up))):
             now = time.time()
@@ -150,111 +151,127 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--instances", type=int, default=3)
     parser.add_argument("--keep", help="folder to keep logs in")
-    wanted = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
-        return play(wanted, Path(wanted.keep) if wanted.keep else Path(folder))
+        return run(options, Path(options.keep) if options.keep else Path(folder))
 
 
-def play(wanted: argparse.Namespace, folder: Path) -> int:
+def run(options: argparse.Namespace, folder: Path) -> int:
+    """Runs the daemons, the changes, the look-ups and the faults, and reports."""
     folder.mkdir(exist_ok=True)
-    upstreams = Upstreams(UPSTREAMS)
-    made = Cluster(wanted.instances, folder, config_text(("u0", upstreams.ports[0])))
+    upstreams = Upstreams(UPSTREAM_COUNT)
+    cluster = Cluster(options.instances, folder, config_text(("u0", upstreams.ports[0])))
     try:
-        made.start()
-        made.leader()
-        changer = Changer(made, upstreams.ports, wanted.seed)
+        cluster.start()
+        cluster.leader()
+        changer = ConfigChanger(cluster, upstreams.ports, options.seed)
         changer.start()
-        askers = {d.name: LookupGenerator(d.dns_port, RATE, n) for n, d in enumerate(made.daemons)}
-        for asker in askers.values():
-            asker.start()
-        trouble = Trouble(made, wanted.seed)
-        trouble.play(time.time() + wanted.seconds)
-        time.sleep(4.0)  # all are up: they must come back
+        load_generators = {
+            daemon.name: LookupGenerator(daemon.dns_port, LOOKUPS_PER_S, n)
+            for n, daemon in enumerate(cluster.daemons)
+        }
+        for load_generator in load_generators.values():
+            load_generator.start()
+        faults = FaultInjector(cluster, options.seed)
+        faults.run(time.time() + options.seconds)
+        time.sleep(4.0)  # all are running: the cluster has to recover
         changer.done.set()
         changer.join(30)
-        for asker in askers.values():
-            asker.rate = 0.001
-        time.sleep(ANSWER)
-        for asker in askers.values():
-            asker.finish()
-        history = orjson.loads(made.ask("config", "history", "--most", "500", "--json"))
-        stopped = [e for d in made.daemons for e in d.events("store_stopped") + d.events("crashed")]
-        came = upstreams.finish()
+        for load_generator in load_generators.values():
+            load_generator.rate = 0.001
+        time.sleep(MAX_ANSWER_S)
+        for load_generator in load_generators.values():
+            load_generator.finish()
+        history = orjson.loads(cluster.ask("config", "history", "--most", "500", "--json"))
+        stopped = [
+            event
+            for daemon in cluster.daemons
+            for event in daemon.events("store_stopped") + daemon.events("crashed")
+        ]
+        arrivals = upstreams.finish()
     finally:
-        made.end()
-    return judge(wanted, changer, askers, trouble, history, stopped, came)
+        cluster.end()
+    return report(options, changer, load_generators, faults, history, stopped, arrivals)
 
 
-def judge(
-    wanted: argparse.Namespace,
-    changer: Changer,
-    askers: dict[str, LookupGenerator],
-    trouble: Trouble,
+def report(
+    options: argparse.Namespace,
+    changer: ConfigChanger,
+    load_generators: dict[str, LookupGenerator],
+    faults: FaultInjector,
     history: list[dict[str, object]],
     stopped: list[dict[str, object]],
-    came: list[tuple[float, int]],
+    arrivals: list[tuple[float, int]],
 ) -> int:
+    """Checks and prints the result; returns the exit code."""
     acks = changer.acks
-    kept = {row["note"]: row["revision"] for row in history}
+    revisions = {row["note"]: row["revision"] for row in history}
     oldest = min((int(str(row["revision"])) for row in history), default=0)
-    lost = [n for _, n, revision in acks if revision >= oldest and kept.get(f"n={n}") != revision]
-    doubled = len([r for _, _, r in acks]) - len({r for _, _, r in acks})
+    lost = [n for _, n, revision in acks if revision >= oldest and revisions.get(f"n={n}") != revision]
+    doubled = len([acked for _, _, acked in acks]) - len({acked for _, _, acked in acks})
     times = [when for when, *_ in acks]
     stale = []
-    for when, k in came:
-        at = bisect.bisect_right(times, when)
-        acknowledged = acks[at - 1][1] if at else 0
-        # The upstream's number tells n up to a multiple of UPSTREAMS: the nearest to what was acknowledged.
-        n = acknowledged + (k - acknowledged + UPSTREAMS // 2) % UPSTREAMS - UPSTREAMS // 2
+    for when, upstream in arrivals:
+        ack_count = bisect.bisect_right(times, when)
+        acknowledged = acks[ack_count - 1][1] if ack_count else 0
+        # The upstream's index gives n modulo UPSTREAM_COUNT: take the n nearest to the acknowledged one.
+        n = (
+            acknowledged
+            + (upstream - acknowledged + UPSTREAM_COUNT // 2) % UPSTREAM_COUNT
+            - UPSTREAM_COUNT // 2
+        )
         if n < acknowledged:
             stale.append((when, n, acknowledged))
     served = refused = unanswered = judged = 0
-    for name, asker in askers.items():
-        away = trouble.away[name]
-        for number, sent in enumerate(asker.sent):
-            answer = asker.answers.get(number)
+    for name, load_generator in load_generators.items():
+        absences = faults.absences[name]
+        for number, sent in enumerate(load_generator.sent):
+            answer = load_generator.answers.get(number)
             if answer:
                 served += answer[1] == 0
                 refused += answer[1] != 0
-            if any(since - 0.05 <= sent + ANSWER and sent <= back + 0.1 for since, back in away):
-                continue  # it was not running all the while
+            if any(since - 0.05 <= sent + MAX_ANSWER_S and sent <= back + 0.1 for since, back in absences):
+                continue  # the instance was not running all the time
             judged += 1
             unanswered += answer is None
     gaps, majority_gaps = [], []
-    for loss in trouble.losses:
-        first = next((began + took for began, took in changer.took if began + took > loss), None)
+    for loss in faults.losses:
+        first = next(
+            (began + took for began, took in changer.took if began + took > loss),
+            None,
+        )
         if first is None:
             continue
         gaps.append((first - loss) * 1000)
-        if trouble.majority(loss, first):
+        if faults.majority(loss, first):
             majority_gaps.append(gaps[-1])
-    took = [t * 1000 for _, t in changer.took]
+    took = [duration * 1000 for _, duration in changer.took]
     for row in stale[:5]:
         print(f"stale: {row}", file=sys.stderr)
     ok = (
         not (stale or lost or doubled or unanswered or changer.failed or stopped)
-        and len(acks) > wanted.seconds / 4
+        and len(acks) > options.seconds / 4
     )
     return print_line(
         {
             "benchmark": "store_chaos",
-            "seed": wanted.seed,
+            "seed": options.seed,
             "ok": ok,
-            "seconds": wanted.seconds,
-            "instances": wanted.instances,
-            "kills": trouble.kills,
-            "pauses": trouble.pauses,
+            "seconds": options.seconds,
+            "instances": options.instances,
+            "kills": faults.kills,
+            "pauses": faults.pauses,
             "changes_acked": len(acks),
             "acks_lost": len(lost),
             "acks_doubled": doubled,
-            "acts": len(came),
+            "acts": len(arrivals),
             "stale_acts": len(stale),
-            "lookups": sum(len(a.sent) for a in askers.values()),
+            "lookups": sum(len(generator.sent) for generator in load_generators.values()),
             "lookups_served": served,
             "lookups_refused": refused,
             "lookups_judged": judged,
             "unanswered": unanswered,
-            "answered_twice": sum(a.repeated for a in askers.values()),
+            "answered_twice": sum(generator.repeated for generator in load_generators.values()),
             "change_ms_p50": round(percentile(took, 0.5), 1),
             "change_ms_p99": round(percentile(took, 0.99), 1),
             "losses_with_majority": len(majority_gaps),
