--- a/benchmarks/gap_auto.py
+++ b/benchmarks/gap_auto.py
@@ -1,6 +1,6 @@
-"""Floods of calls in vain to one number of a real fleet: gaps that set themselves, are held, eased and end.
+"""Floods of failing calls to one number of a real fleet: automatic gaps are set, held, eased and ended.
 
-In each flood something fails: the leader is killed, an instance is paused, a part of the fleet is cut off.
+Each flood comes with a fault: the leader is killed, an instance is paused, or part of the fleet is cut off.
 
     python -m benchmarks.gap_auto --instances 3 --seconds 85 --seed 1
 """
@@ -24,36 +24,40 @@
 from harepick.gapping.auto_gaps import HOLD_DEMAND, RELAX_STEPS, RENEW_AGE
 from harepick.gapping.detector import AVERAGING_TIME_S
 
-LEASE = 1.0
-AFTER, TTL, INTERVAL = 0.5, 2.0, 0.5
-PER_S = 40.0
-BUSY, OTHER = "+94112345678", "+9455"
-FIRST, EVERY, LENGTH = 4.0, 26.0, 8.0  # seconds of the floods
-RATE, TIMES = 20.0, 10.0  # look-ups a second of the whole load, and how many times as many in a flood
-# From a flood's begin until its gap is set: the demand has to be seen (a second's average) and told (with the
-# next question for a lease) and to last. With the leader lost just then: its lease, an election, and the new
-# one's own wait before it settles anything.
-FOUND = 1.0 + 0.5 * LEASE + AFTER + 0.5
-FOUND_LOST = FOUND + 1.1 * LEASE + 2.0 + 1.1 * LEASE
-# From its end until the gap has ended: the demand that is remembered fades to half of `per_s`, the steps of
-# the easing follow, each a little under a time to live, and the last ends by its own; a second for commits.
-# With the leader lost the time to live counts anew, after an election.
-CALM, FLOOD = RATE / 2, RATE * TIMES / 2  # to the busy number
-FADES = AVERAGING_TIME_S * log((FLOOD - CALM) / (HOLD_DEMAND * PER_S - CALM))
-LET_GO = FADES + (RELAX_STEPS * (1 - RENEW_AGE / 4) + 1) * TTL + 1.0
-LET_GO_LOST = LET_GO + TTL + 2.2 * LEASE + 2.0
+LEASE_S = 1.0
+AFTER_S, TTL_S, INTERVAL_S = 0.5, 2.0, 0.5
+THRESHOLD_PER_S = 40.0
+BUSY_NUMBER, OTHER_PREFIX = "+94112345678", "+9455"
+# Start of the first flood, time from one to the next, and length of each.
+FIRST_FLOOD_S, FLOOD_PERIOD_S, FLOOD_LENGTH_S = 4.0, 26.0, 8.0
+LOOKUPS_PER_S, FLOOD_FACTOR = 20.0, 10.0  # look-ups per second of the whole load, and its factor in a flood
+# From the start of a flood until its gap is set: the demand has to be measured (an average over one second),
+# reported (with the next lease request) and to last for `AFTER_S`. If the leader is lost at that moment, its
+# lease has to expire, an election follows, and the new leader waits before it decides anything.
+SET_BOUND_S = 1.0 + 0.5 * LEASE_S + AFTER_S + 0.5
+SET_BOUND_LEADER_LOST_S = SET_BOUND_S + 1.1 * LEASE_S + 2.0 + 1.1 * LEASE_S
+# From the end of a flood until its gap has ended: the remembered demand fades to the share of `per_s` that
+# still holds a gap (`HOLD_DEMAND`), the gap is relaxed in steps, each a little shorter than the time to live, and the
+# last step expires; one second is for commits. If the leader is lost, the time to live starts again after an
+# election.
+# Look-ups per second to the busy number.
+CALM_PER_S, FLOOD_PER_S = LOOKUPS_PER_S / 2, LOOKUPS_PER_S * FLOOD_FACTOR / 2
+FADE_S = AVERAGING_TIME_S * log((FLOOD_PER_S - CALM_PER_S) / (HOLD_DEMAND * THRESHOLD_PER_S - CALM_PER_S))
+END_BOUND_S = FADE_S + (RELAX_STEPS * (1 - RENEW_AGE / 4) + 1) * TTL_S + 1.0
+END_BOUND_LEADER_LOST_S = END_BOUND_S + TTL_S + 2.2 * LEASE_S + 2.0
 
 
 def floods(seconds: float) -> list[tuple[float, float]]:
-    """When each begins and ends: as many as can come to their end."""
-    found, at = [], FIRST
-    while at + LENGTH + LET_GO_LOST <= seconds:
-        found.append((at, at + LENGTH))
-        at += EVERY
-    return found
+    """Start and end of each flood whose gap can end in time, in seconds from the start."""
+    periods, at = [], FIRST_FLOOD_S
+    while at + FLOOD_LENGTH_S + END_BOUND_LEADER_LOST_S <= seconds:
+        periods.append((at, at + FLOOD_LENGTH_S))
+        at += FLOOD_PERIOD_S
+    return periods
 
 
 def table(instances: int, seconds: float, seed: int) -> dict[str, Any]:
+    """The scenario: the floods, with a fault drawn for each."""
     rng = Random(seed)
     kinds: list[dict[str, Any]] = [
         {"kind": "kill", "whom": "leader"},
@@ -69,15 +73,17 @@
     return {
         "instances": instances,
         "servers": 2,
-        "lease_ms": LEASE * 1000,
+        "lease_ms": LEASE_S * 1000,
         "seconds": seconds,
-        "busy": BUSY,
-        "settings": f"[autogap]\nper_s = {PER_S}\nafter_s = {AFTER}\n"
-        f"interval_s = {INTERVAL}\nttl_s = {TTL}\n",
+        "busy": BUSY_NUMBER,
+        "settings": f"[autogap]\nper_s = {THRESHOLD_PER_S}\nafter_s = {AFTER_S}\n"
+        f"interval_s = {INTERVAL_S}\nttl_s = {TTL_S}\n",
         "load": {
-            "rate": RATE,
-            "numbers": {BUSY: 1.0, OTHER: 1.0},
-            "burst": [{"at": begin, "for_s": end - begin, "times": TIMES} for begin, end in floods(seconds)],
+            "rate": LOOKUPS_PER_S,
+            "numbers": {BUSY_NUMBER: 1.0, OTHER_PREFIX: 1.0},
+            "burst": [
+                {"at": begin, "for_s": end - begin, "times": FLOOD_FACTOR} for begin, end in floods(seconds)
+            ],
         },
         "fault": faults,
         "checks": {name: {} for name in ("one_answer", "one_leader_a_term", "complete", "no_crash")}
@@ -85,8 +91,8 @@
     }
 
 
-def gaps(report: Report) -> list[tuple[str, float, float]]:
-    """Each gap that was set: its number, and from when to when it held at the first instance that told."""
+def gap_periods(report: Report) -> list[tuple[str, float, float]]:
+    """Number, start and end of each gap that was set, as the first instance reported them."""
     begun: dict[int, Event] = {}
     ended: dict[int, float] = {}
     for event in report.events:
@@ -94,7 +100,10 @@
             begun.setdefault(event["verdict"], event)
         elif event.event == "verdict_lifted":
             ended.setdefault(event["verdict"], event.mono - report.start)
-    return [(e["subject"], e.mono - report.start, ended.get(n, float("inf"))) for n, e in begun.items()]
+    return [
+        (first["subject"], first.mono - report.start, ended.get(number, float("inf")))
+        for number, first in begun.items()
+    ]
 
 
 def main() -> int:
@@ -104,49 +113,53 @@
     parser.add_argument("--seconds", type=float, default=85.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--instances", type=int, default=3)
-    wanted = parser.parse_args()
-    scenario = make_scenario(table(wanted.instances, wanted.seconds, wanted.seed), "gap_auto")
+    options = parser.parse_args()
+    scenario = make_scenario(table(options.instances, options.seconds, options.seed), "gap_auto")
     with tempfile.TemporaryDirectory() as folder:
-        report = anyio.run(ScenarioRunner(scenario, wanted.seed, Path(folder)).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, Path(folder)).run)
     for violation in report.told[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    return print_line(judged(wanted, report))
+    return print_line(make_line(options, report))
 
 
-def judged(wanted: argparse.Namespace, report: Report) -> dict[str, Any]:
-    """The line to print: every flood found once, held, and let go of; nothing else gapped."""
-    found, let_go, flaps, strangers = [], [], 0, 0
-    held = gaps(report)
-    expected = floods(wanted.seconds)
+def make_line(options: argparse.Namespace, report: Report) -> dict[str, Any]:
+    """The JSON line. Each flood has to get exactly one gap, held and then ended; nothing else gets one."""
+    set_after, ended_after, flaps, in_error = [], [], 0, 0
+    held = gap_periods(report)
+    expected = floods(options.seconds)
     for number, begin, _ in held:
         in_time = any(since <= begin <= until for since, until in expected)
-        strangers += number != BUSY or not in_time
+        in_error += number != BUSY_NUMBER or not in_time
     for since, until in expected:
-        own = [(b, e) for number, b, e in held if number == BUSY and since <= b <= until]
-        found.append(own[0][0] - since if own else float("inf"))
-        let_go.append(max(e for _, e in own) - until if own else float("inf"))
+        own = [(start, e) for number, start, e in held if number == BUSY_NUMBER and since <= start <= until]
+        set_after.append(own[0][0] - since if own else float("inf"))
+        ended_after.append(max(e for _, e in own) - until if own else float("inf"))
         flaps += max(0, len(own) - 1) + sum(e < until for _, e in own)
     others = [
         e
         for e in report.events
         if e.event == "lookup"
-        and e["prefix"] == OTHER
-        and any(since + FOUND_LOST <= e.mono - report.start <= until for since, until in expected)
+        and e["prefix"] == OTHER_PREFIX
+        and any(
+            since + SET_BOUND_LEADER_LOST_S <= e.mono - report.start <= until for since, until in expected
+        )
     ]
     served = sum(e["rcode"] == 0 for e in others) / len(others) if others else 1.0
-    held_to = all(f <= FOUND_LOST for f in found) and all(g <= LET_GO_LOST for g in let_go)
+    within_bounds = all(seconds <= SET_BOUND_LEADER_LOST_S for seconds in set_after) and all(
+        seconds_to_end <= END_BOUND_LEADER_LOST_S for seconds_to_end in ended_after
+    )
     return {
         "benchmark": "gap_auto",
-        "seed": wanted.seed,
-        "ok": report.ok and bool(expected) and held_to and not flaps and not strangers,
-        "seconds": wanted.seconds,
+        "seed": options.seed,
+        "ok": report.ok and bool(expected) and within_bounds and not flaps and not in_error,
+        "seconds": options.seconds,
         "floods": len(expected),
-        "found_s": [round(f, 2) for f in found],
-        "found_bound_s": [round(FOUND, 2), round(FOUND_LOST, 2)],
-        "let_go_s": [round(g, 2) for g in let_go],
-        "let_go_bound_s": [round(LET_GO, 2), round(LET_GO_LOST, 2)],
+        "found_s": [round(seconds, 2) for seconds in set_after],
+        "found_bound_s": [round(SET_BOUND_S, 2), round(SET_BOUND_LEADER_LOST_S, 2)],
+        "let_go_s": [round(seconds_to_end, 2) for seconds_to_end in ended_after],
+        "let_go_bound_s": [round(END_BOUND_S, 2), round(END_BOUND_LEADER_LOST_S, 2)],
         "flaps": flaps,
-        "gapped_in_error": strangers,
+        "gapped_in_error": in_error,
         "others_served_share": round(served, 3),
         **report.figures,
         "violations": report.violations,
--- a/benchmarks/gap_load.py
+++ b/benchmarks/gap_load.py
@@ -1,11 +1,11 @@
-"""Number gapping under load: the real program on one of its fronts, one number flooded, others beside it.
+"""Number gapping under load: the real program on one of its fronts, with one number flooded among others.
 
 python -m benchmarks.gap_load --rate 300 --interval 1.0 --seconds 30 --seed 1 [--front enum]
 
-The run alternates stretches without and with a gap on the flooded number, set and lifted by SIGHUP, so that
-the other numbers' service is paired in one run. What is claimed is checked by what the stand-ins saw: the
-server counts what reaches it for the flooded number in each slot of the gap (slots are counted from the Unix
-epoch, from when the program logs the gap until it logs the lift), and the callers time the refusals.
+The run alternates phases without and with a gap on the flooded number, which is set and lifted by SIGHUP, so
+that the service of the other numbers is compared within one run. The results come from the fake peers: the
+server counts what reaches it for the flooded number in each slot of the gap (slots count from the Unix epoch,
+from when the program logs the gap until it logs that it is lifted), and the callers time the refusals.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 from tests.test_wire import OPTIONS
 
 ROOT = Path(__file__).parent.parent
-CLAIM = b"7f3a9c21e0b4d655"
-HOLD = 1.0  # seconds that a call stands before the server ends it
+FLOODED_NUMBER = b"7f3a9c21e0b4d655"
+CALL_S = 1.0  # that a call stands before the server ends it
 CONNECTIONS = 8
-ROUNDED = 0.001  # seconds to which the log tells its times
+LOG_RESOLUTION_S = 0.001  # to which times in the log are rounded
 
 
-class Server(threading.Thread):
-    """A setup server that answers every set-up at once and ends each call after `HOLD`; counts by number."""
+class FakeSetupServer(threading.Thread):
+    """A setup server that answers every set-up at once and ends each call after `CALL_S`."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        self.seen: list[tuple[float, bytes, str]] = []  # (time, number, call)
+        self.received: list[tuple[float, bytes, str]] = []  # (time, number, call)
         self.lock = threading.Lock()
 
     def run(self) -> None:
@@ -76,18 +76,18 @@
                 if message.method == "INVITE" and not message.status:
                     number = message.target.removeprefix(b"sip:").partition(b"@")[0]
                     with self.lock:
-                        self.seen.append((now, number, message.call))
+                        self.received.append((now, number, message.call))
                     reply = sip.response(message, 200, b"OK")
                     conn.sendall(reply.replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer")
-                    ends.append((now + HOLD, number, message.call))
-            due = [e for e in ends if e[0] <= now]
-            ends = [e for e in ends if e[0] > now]
+                    ends.append((now + CALL_S, number, message.call))
+            due = [call_end for call_end in ends if call_end[0] <= now]
+            ends = [call_end for call_end in ends if call_end[0] > now]
             for _, number, call in due:
                 conn.sendall(sip.bye(number, call, 7, 16))
 
 
-class Bus(threading.Thread):
-    """An event bus that tells nothing new and says the last number every second."""
+class FakeBus(threading.Thread):
+    """An event bus without events: it repeats the number of the last event every second."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -100,9 +100,9 @@
                 conn, _ = self.sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._beat, args=(conn,), daemon=True).start()
+            threading.Thread(target=self._repeat_number, args=(conn,), daemon=True).start()
 
-    def _beat(self, conn: socket.socket) -> None:
+    def _repeat_number(self, conn: socket.socket) -> None:
         try:
             while True:
                 conn.sendall(b"1\n")
@@ -112,17 +112,18 @@
 
 
 class Callers:
-    """Set-ups on a fixed schedule over a few connections; what each was told, and when."""
+    """Sends set-ups over a few connections; records when each was sent and how and when it was answered."""
 
     def __init__(self, port: int) -> None:
-        self.socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(CONNECTIONS)]
+        self.sockets = [socket.create_connection(("127.0.0.1", port)) for _ in range(CONNECTIONS)]
         self.sent: dict[bytes, tuple[float, bytes]] = {}  # call -> (time, number)
-        self.told: dict[bytes, tuple[float, int, int]] = {}  # call -> (time, type, cause)
+        self.answers: dict[bytes, tuple[float, int, int]] = {}  # call -> (time, type, cause)
         self.lock = threading.Lock()
-        for sock in self.socks:
-            threading.Thread(target=self._hear, args=(sock,), daemon=True).start()
+        for sock in self.sockets:
+            threading.Thread(target=self._receive, args=(sock,), daemon=True).start()
 
     def send(self, n: int, number: bytes) -> None:
+        """Sends set-up `n` for a number."""
         call = os.urandom(8)
         fields = {
             binary.CLASS: b"a",
@@ -133,9 +134,9 @@
         }
         with self.lock:
             self.sent[call] = (time.time(), number)
-        self.socks[n % CONNECTIONS].sendall(binary.Message(binary.SET_UP, call, fields).encode())
+        self.sockets[n % CONNECTIONS].sendall(binary.Message(binary.SET_UP, call, fields).encode())
 
-    def _hear(self, sock: socket.socket) -> None:
+    def _receive(self, sock: socket.socket) -> None:
         decoder = binary.Decoder()
         while True:
             try:
@@ -146,19 +147,19 @@
                 return
             now = time.time()
             for message in decoder.feed(data):
-                if message.type in (binary.ANSWER, binary.RELEASE) and message.call not in self.told:
+                if message.type in (binary.ANSWER, binary.RELEASE) and message.call not in self.answers:
                     cause = message.parameters.get(binary.CAUSE, b"\0")[0]
                     with self.lock:
-                        self.told[message.call] = (now, message.type, cause)
+                        self.answers[message.call] = (now, message.type, cause)
 
 
 class PlatformFront:
-    """The program on the platform's front, with its JSON and SIGHUP."""
+    """The program on its platform front, configured by JSON and SIGHUP."""
 
-    claim = CLAIM
+    flooded_number = FLOODED_NUMBER
 
     def __init__(self) -> None:
-        self.server, bus = Server(), Bus()
+        self.server, bus = FakeSetupServer(), FakeBus()
         self.server.start()
         bus.start()
         self.port = free_port()
@@ -176,32 +177,36 @@
         }
 
     def start(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
-        """The file, and what to start the program with."""
+        """The configuration file, and the arguments and environment to start the program with."""
         path = folder / "config.json"
         return path, [], {"GW_CONFIG": str(path)}
 
     def write(self, path: Path, interval: float | None) -> None:
-        """The configuration, with the gap or without."""
-        gap = {"id": "flood", "number": CLAIM.decode(), "interval_s": interval}
+        """Writes the configuration, with a gap on the flooded number or (None) without."""
+        gap = {"id": "flood", "number": FLOODED_NUMBER.decode(), "interval_s": interval}
         path.write_text(json.dumps(self._config | {"gaps": [gap] if interval is not None else []}))
 
     def callers(self) -> Callers:
+        """Connects the callers."""
         return Callers(self.port)
 
-    def other(self, rng: random.Random) -> bytes:
+    def draw_other_number(self, rng: random.Random) -> bytes:
+        """A random number that is not flooded."""
         return b"%016x" % rng.getrandbits(64)
 
     @staticmethod
-    def served(told: tuple[float, int, int]) -> bool:
-        return told[1] == binary.ANSWER
+    def served(answer: tuple[float, int, int]) -> bool:
+        """Whether the answer is a standing call."""
+        return answer[1] == binary.ANSWER
 
     @staticmethod
-    def refused(told: tuple[float, int, int]) -> bool:
-        return told[1] == binary.RELEASE and told[2] == 42
+    def refused(answer: tuple[float, int, int]) -> bool:
+        """Whether the answer is the refusal of a gap."""
+        return answer[1] == binary.RELEASE and answer[2] == 42
 
-    def wasted(self, callers: Callers, refused: set[bytes]) -> int:
-        """Set-ups that reached the server and were refused all the same."""
-        reached = {call for _, number, call in self.server.seen if number == CLAIM}
+    def count_wasted(self, callers: Callers, refused: set[bytes]) -> int:
+        """Number of set-ups that reached the server although they were refused."""
+        reached = {call for _, number, call in self.server.received if number == FLOODED_NUMBER}
         return sum(call.hex() in reached for call in refused)
 
 
@@ -213,24 +218,26 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--rate", type=float, default=300.0, help="set-ups a second to the flooded number")
-    parser.add_argument("--others", type=float, default=30.0, help="set-ups a second to other numbers")
+    parser.add_argument("--rate", type=float, default=300.0, help="set-ups per second to the flooded number")
+    parser.add_argument("--others", type=float, default=30.0, help="set-ups per second to other numbers")
     parser.add_argument("--interval", type=float, default=1.0)
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--front", choices=sorted(FRONTS), default="platform")
-    wanted = parser.parse_args()
-    rng = random.Random(wanted.seed)
-    front = FRONTS[wanted.front]()
+    options = parser.parse_args()
+    rng = random.Random(options.seed)
+    front = FRONTS[options.front]()
     with tempfile.TemporaryDirectory() as folder:
-        path, more, environ = front.start(Path(folder))
+        path, arguments, environ = front.start(Path(folder))
         log = Path(folder) / "log"
         front.write(path, None)
-        with log.open("wb") as out:
-            words = [sys.executable, "-m", "harepick", *more]
-            program = subprocess.Popen(words, cwd=ROOT, env=os.environ | environ, stdout=out, stderr=out)
+        with log.open("wb") as log_file:
+            command = [sys.executable, "-m", "harepick", *arguments]
+            program = subprocess.Popen(
+                command, cwd=ROOT, env=os.environ | environ, stdout=log_file, stderr=log_file
+            )
         try:
-            line = run(wanted, rng, program, path, log, front)
+            line = run(options, rng, program, path, log, front)
         finally:
             program.kill()
             program.wait()
@@ -238,39 +245,40 @@
 
 
 def run(
-    wanted: argparse.Namespace,
+    options: argparse.Namespace,
     rng: random.Random,
     program: subprocess.Popen[bytes],
     path: Path,
     log: Path,
     front: Front,
 ) -> dict[str, Any]:
+    """Runs the four phases; returns the JSON line."""
     end = time.time() + 10
     while b'"serving"' not in log.read_bytes():
         if time.time() > end or program.poll() is not None:
             raise SystemExit(f"the program did not start: {log.read_text()[-500:]}")
         time.sleep(0.02)
     callers = front.callers()
-    stretch = wanted.seconds / 4
+    phase_s = options.seconds / 4
     phases: list[tuple[str, float, float]] = []  # (gap on or off, start, end)
-    step = 1.0 / (wanted.rate + wanted.others)
-    share = wanted.rate / (wanted.rate + wanted.others)
+    step = 1.0 / (options.rate + options.others)
+    share = options.rate / (options.rate + options.others)
     n = 0
-    for k in range(4):
-        on = k % 2 == 1
-        front.write(path, wanted.interval if on else None)
+    for phase_index in range(4):
+        on = phase_index % 2 == 1
+        front.write(path, options.interval if on else None)
         program.send_signal(signal.SIGHUP)
-        time.sleep(0.2)  # the reload is heard before the stretch is counted
+        time.sleep(0.2)  # the program reloads before the phase starts
         begin, sent = time.time(), 0
-        while time.time() < begin + stretch:
-            number = front.claim if rng.random() < share else front.other(rng)
+        while time.time() < begin + phase_s:
+            number = front.flooded_number if rng.random() < share else front.draw_other_number(rng)
             callers.send(n, number)
             n, sent = n + 1, sent + 1
-            time.sleep(max(0.0, begin + sent * step - time.time()))  # a fixed schedule, not one after another
+            time.sleep(max(0.0, begin + sent * step - time.time()))  # a fixed rate, whatever answers take
         phases.append(("on" if on else "off", begin, time.time()))
-    time.sleep(HOLD + 4.5)  # every call answered, and ended
+    time.sleep(CALL_S + 4.5)  # until every call is answered and ended
     cpu = _cpu_seconds(program.pid)
-    return _figures(wanted, log, phases, callers, front, cpu)
+    return _make_line(options, log, phases, callers, front, cpu)
 
 
 def _cpu_seconds(pid: int) -> float:
@@ -278,8 +286,8 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def _figures(
-    wanted: argparse.Namespace,
+def _make_line(
+    options: argparse.Namespace,
     log: Path,
     phases: list[tuple[str, float, float]],
     callers: Callers | EnumCallers,
@@ -287,53 +295,60 @@
     cpu: float,
 ) -> dict[str, Any]:
     events = [json.loads(line) for line in log.read_text().splitlines() if line.startswith("{")]
-    set_at = [e["at"] for e in events if e["event"] == "gaps" and e["set"]]  # each gap's start, as logged
-    lifted_at = [e["at"] for e in events if e["event"] == "gaps" and e["lifted"]]
-    slots: Counter[tuple[int, int]] = Counter()  # (stretch, slot) -> set-ups that reached the server
-    full: list[tuple[int, int]] = []  # slots wholly within a stretch with the gap
-    for k, (kind, begin, end) in enumerate(phases):
+    # The start of each gap, as logged.
+    set_at = [event["at"] for event in events if event["event"] == "gaps" and event["set"]]
+    lifted_at = [event["at"] for event in events if event["event"] == "gaps" and event["lifted"]]
+    slots: Counter[tuple[int, int]] = Counter()  # (phase, slot) -> set-ups that reached the server
+    full: list[tuple[int, int]] = []  # slots that lie wholly within a phase with the gap
+    for phase_index, (kind, begin, end) in enumerate(phases):
         if kind != "on":
             continue
         start = max(s for s in set_at if s <= begin)
-        first, last = math.ceil(begin / wanted.interval), int(end // wanted.interval)  # of Unix time
-        full += [(k, s) for s in range(first, last)]
-        lifted = min((t for t in lifted_at if t > start), default=math.inf)  # after it, all may pass
-        passed: set[str] = set()  # a call that passed may be tried again
-        for at, number, which in front.server.seen:
-            if number == front.claim and start <= at < lifted - ROUNDED and which not in passed:
-                passed.add(which)
-                slots[(k, int(at // wanted.interval))] += 1
+        # Slots are counted from the Unix epoch.
+        first, last = math.ceil(begin / options.interval), int(end // options.interval)
+        full += [(phase_index, s) for s in range(first, last)]
+        # All calls may pass once the gap is lifted.
+        lifted = min((time_lifted for time_lifted in lifted_at if time_lifted > start), default=math.inf)
+        passed: set[str] = set()  # a call that passed may reach the server again
+        for at, number, call_id in front.server.received:
+            if (
+                number == front.flooded_number
+                and start <= at < lifted - LOG_RESOLUTION_S
+                and call_id not in passed
+            ):
+                passed.add(call_id)
+                slots[(phase_index, int(at // options.interval))] += 1
     refused_ms: list[float] = []
     others: dict[str, list[float]] = {"on": [], "off": []}
     refused: set[bytes] = set()
     others_offered = Counter[str]()
     others_served = Counter[str]()
     for call, (sent, number) in callers.sent.items():
-        stretch = next((p[0] for p in phases if p[1] <= sent <= p[2]), None)
-        told = callers.told.get(call)
-        if stretch is None:
+        phase_kind = next((phase[0] for phase in phases if phase[1] <= sent <= phase[2]), None)
+        answer = callers.answers.get(call)
+        if phase_kind is None:
             continue
-        kind = stretch
-        if number == front.claim and kind == "on":
-            if told and front.refused(told):
+        kind = phase_kind
+        if number == front.flooded_number and kind == "on":
+            if answer and front.refused(answer):
                 refused.add(call)
-                refused_ms.append((told[0] - sent) * 1000)
-        elif number != front.claim:
+                refused_ms.append((answer[0] - sent) * 1000)
+        elif number != front.flooded_number:
             others_offered[kind] += 1
-            if told and front.served(told):
+            if answer and front.served(answer):
                 others_served[kind] += 1
-                others[kind].append((told[0] - sent) * 1000)
+                others[kind].append((answer[0] - sent) * 1000)
     counts = [slots.get(s, 0) for s in full]
-    work_for_refused = front.wasted(callers, refused)  # type: ignore[arg-type]
+    work_for_refused = front.count_wasted(callers, refused)  # type: ignore[arg-type]
     line: dict[str, Any] = {
         "benchmark": "gap_load",
-        "front": wanted.front,
-        "seed": wanted.seed,
-        "rate": wanted.rate,
-        "interval": wanted.interval,
+        "front": options.front,
+        "seed": options.seed,
+        "rate": options.rate,
+        "interval": options.interval,
         "passed": sum(slots.values()),
         "intervals": len(full),
-        # Of whole slots: in the one in which it was set, a call that was taken before may leave after.
+        # Whole slots only: in the one in which the gap is set, a call admitted before may be sent after.
         "most_in_one_interval": max(counts, default=0),
         "least_in_one_interval": min(counts, default=0),
         "refused": len(refused),
--- a/benchmarks/gap_load_enum.py
+++ b/benchmarks/gap_load_enum.py
@@ -1,4 +1,4 @@
-"""The ENUM side of `benchmarks/gap_load.py`: one upstream that tells what came, and callers by datagram."""
+"""The ENUM side of `benchmarks/gap_load.py`: a fake upstream that records queries, and callers over UDP."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from benchmarks.daemons import HOST, query_bytes
 from harepick.fleet.ports import free_port
 
-CLAIM = b"94112345678"
-CONNECTIONS = 8  # sockets, each with ids of its own
+FLOODED_NUMBER = b"94112345678"
+CONNECTIONS = 8  # sockets, each with its own query ids
 SERVFAIL = 2
-DATAGRAM = 4096
+MAX_DATAGRAM_BYTES = 4096
 
 
-def number_of(query: bytes) -> bytes:
-    """The digits of an ENUM query (RFC 6116, section 3.2), in the order in which they are dialled."""
-    at, digits = 12, []
-    while query[at] == 1:
-        digits.append(query[at + 1 : at + 2])
-        at += 2
+def queried_number(query: bytes) -> bytes:
+    """The number of an ENUM query (RFC 6116, section 3.2), in dialled order."""
+    offset, digits = 12, []
+    while query[offset] == 1:
+        digits.append(query[offset + 1 : offset + 2])
+        offset += 2
     return b"".join(reversed(digits))
 
 
-class Upstream(threading.Thread):
-    """Answers every query at once, and keeps when it came and for which number."""
+class FakeUpstream(threading.Thread):
+    """A fake upstream: answers every query at once and records its time and number."""
 
     def __init__(self) -> None:
         super().__init__(daemon=True)
@@ -36,12 +36,12 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 21)
         self.sock.bind((HOST, 0))
         self.port = int(self.sock.getsockname()[1])
-        self.seen: list[tuple[float, bytes, str]] = []  # (time, number, its place in the list)
+        self.received: list[tuple[float, bytes, str]] = []  # (time, number, index as text)
 
     def run(self) -> None:
         while True:
-            data, peer = self.sock.recvfrom(DATAGRAM)
-            self.seen.append((time.time(), number_of(data), str(len(self.seen))))
+            data, peer = self.sock.recvfrom(MAX_DATAGRAM_BYTES)
+            self.received.append((time.time(), queried_number(data), str(len(self.received))))
             reply = bytearray(data)
             reply[2] |= 0x80
             with suppress(OSError):
@@ -49,82 +49,90 @@
 
 
 class Callers:
-    """Look-ups over a few sockets; what each was told, and when."""
+    """Sends look-ups over a few sockets; records when each was sent and how and when it was answered."""
 
     def __init__(self, port: int) -> None:
-        self._to = (HOST, port)
-        self.socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(CONNECTIONS)]
+        self._target = (HOST, port)
+        self.sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(CONNECTIONS)]
         self.sent: dict[bytes, tuple[float, bytes]] = {}  # call -> (time, number)
-        self.told: dict[bytes, tuple[float, int, int]] = {}  # call -> (time, rcode, 0)
-        self._claim = query_bytes(0, CLAIM.decode())[2:]
-        for place, sock in enumerate(self.socks):
+        self.answers: dict[bytes, tuple[float, int, int]] = {}  # call -> (time, rcode, 0)
+        self._flooded_query = query_bytes(0, FLOODED_NUMBER.decode())[2:]
+        for socket_index, sock in enumerate(self.sockets):
             sock.bind((HOST, 0))
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 21)
-            threading.Thread(target=self._hear, args=(place, sock), daemon=True).start()
+            threading.Thread(target=self._receive, args=(socket_index, sock), daemon=True).start()
 
     def send(self, n: int, number: bytes) -> None:
-        ident = (n // CONNECTIONS) & 0xFFFF
-        body = self._claim if number == CLAIM else query_bytes(0, number.decode())[2:]
-        self.sent[self._call(n % CONNECTIONS, ident)] = (time.time(), number)
-        self.socks[n % CONNECTIONS].sendto(ident.to_bytes(2, "big") + body, self._to)
+        """Sends look-up `n` for a number."""
+        query_id = (n // CONNECTIONS) & 0xFFFF
+        body = self._flooded_query if number == FLOODED_NUMBER else query_bytes(0, number.decode())[2:]
+        self.sent[self._call_key(n % CONNECTIONS, query_id)] = (time.time(), number)
+        self.sockets[n % CONNECTIONS].sendto(query_id.to_bytes(2, "big") + body, self._target)
 
     @staticmethod
-    def _call(place: int, ident: int) -> bytes:
-        return bytes([place]) + ident.to_bytes(2, "big")
+    def _call_key(socket_index: int, query_id: int) -> bytes:
+        """The key of a look-up: its socket and query id."""
+        return bytes([socket_index]) + query_id.to_bytes(2, "big")
 
-    def _hear(self, place: int, sock: socket.socket) -> None:
+    def _receive(self, socket_index: int, sock: socket.socket) -> None:
         while True:
             try:
-                data = sock.recv(DATAGRAM)
+                data = sock.recv(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
-            call = self._call(place, int.from_bytes(data[:2], "big"))
-            self.told.setdefault(call, (time.time(), data[3] & 15, 0))
+            call = self._call_key(socket_index, int.from_bytes(data[:2], "big"))
+            self.answers.setdefault(call, (time.time(), data[3] & 15, 0))
 
 
 class EnumFront:
-    """The program on the ENUM front, with the operator's file and SIGHUP."""
+    """The program on its ENUM front, configured by the operator's file and SIGHUP."""
 
-    claim = CLAIM
+    flooded_number = FLOODED_NUMBER
 
     def __init__(self) -> None:
-        self.server = Upstream()
+        self.server = FakeUpstream()
         self.server.start()
         self.port = free_port()
 
     def start(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
-        """The file, and what to start the program with."""
+        """The operator's file, and the arguments and environment to start the program with."""
         path = folder / "enum.toml"
         return path, ["--operator", str(path)], {}
 
     def write(self, path: Path, interval: float | None) -> None:
-        """The operator's file, with the gap or without."""
+        """Writes the operator's file, with a gap on the flooded number or (None) without."""
         text = f'[enum]\nlisten = "{HOST}:{self.port}"\n[rules]\nopen_cap = 20000\n'
         text += f'[[upstream]]\nname = "north"\naddress = "{HOST}:{self.server.port}"\n'
         if interval is not None:
-            text += f'[[gap]]\nid = "flood"\nnumber = "+{CLAIM.decode()}"\ninterval_s = {interval}\n'
+            text += f'[[gap]]\nid = "flood"\nnumber = "+{FLOODED_NUMBER.decode()}"\ninterval_s = {interval}\n'
         path.write_text(text)
 
     def callers(self) -> Callers:
+        """Opens the callers' sockets."""
         return Callers(self.port)
 
-    def other(self, rng: random.Random) -> bytes:
+    def draw_other_number(self, rng: random.Random) -> bytes:
+        """A random number that is not flooded."""
         return b"9455%07d" % rng.randrange(10_000_000)
 
     @staticmethod
-    def served(told: tuple[float, int, int]) -> bool:
-        return told[1] == 0
+    def served(answer: tuple[float, int, int]) -> bool:
+        """Whether the rcode is NOERROR."""
+        return answer[1] == 0
 
     @staticmethod
-    def refused(told: tuple[float, int, int]) -> bool:
-        return told[1] == SERVFAIL
+    def refused(answer: tuple[float, int, int]) -> bool:
+        """Whether the rcode is that of a refusal."""
+        return answer[1] == SERVFAIL
 
-    def wasted(self, callers: Callers, refused: set[bytes]) -> int:
-        """Queries that reached the upstream and were refused all the same: what came for the flooded number
-        beyond what was answered, as an upstream's query bears nothing of its caller."""
-        came = sum(number == CLAIM for _, number, _ in self.server.seen)
+    def count_wasted(self, callers: Callers, refused: set[bytes]) -> int:
+        """Number of queries that reached the upstream although their look-ups were refused.
+
+        A query does not identify its caller, so this is the number of queries for the flooded number less its
+        look-ups that were served."""
+        arrived = sum(number == FLOODED_NUMBER for _, number, _ in self.server.received)
         answered = sum(
-            number == CLAIM and call in callers.told and self.served(callers.told[call])
+            number == FLOODED_NUMBER and call in callers.answers and self.served(callers.answers[call])
             for call, (_, number) in callers.sent.items()
         )
-        return max(0, came - answered)
+        return max(0, arrived - answered)
