--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What must be shown, one program a claim; and the stand-ins that tests share with them."""
+"""Benchmarks and simulations, one program per claim, and the fake peers that tests share with them."""
--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -110,10 +110,12 @@
         self.handle_events(interface.ServerList(interface.ListKind.REMEMBERED, entries))
 
     def handle_events(self, *events: interface.Event) -> None:
+        """Hands events to the decision core and performs its actions."""
         if self.up:
             self.perform_actions(self.core.step(self.world.now, events))
 
     def call_later(self, delay: float, event: Callable[[], interface.Event]) -> None:
+        """Delivers an event after a delay, unless the process was restarted meanwhile."""
         life = self.life
 
         def deliver() -> None:
@@ -123,6 +125,7 @@
         self.world.call_later(delay, deliver)
 
     def perform_actions(self, actions: list[interface.Action]) -> None:
+        """Performs what the core decided."""
         for action in actions:
             match action:
                 case interface.WakeAfter(delay, token):
@@ -133,6 +136,7 @@
                     self.world.handle_refusal(call, retry_after)
 
     def send(self, call: str, server: str) -> None:
+        """Sends a set-up to a server and reports the answer and the end of the call."""
         world = self.world
         sent, latency = world.now, world.rng.uniform(0.004, 0.024)
         attempt = world.attempts[call] = world.attempts.get(call, -1) + 1
@@ -205,6 +209,7 @@
             self.call_later(delay, deliver)
 
     def place_call(self, controller: BorderController, number: int, tries: int = 0) -> None:
+        """A caller's attempt at a controller; `number` also selects the class of the call."""
         self._event_count += 1
         call = f"c{self._event_count}"
         self.callers[call] = controller, number, tries
@@ -224,6 +229,8 @@
             self.call_later(pause, lambda: self.place_call(controller, number, tries + 1))
 
     def start_traffic(self, controller: BorderController) -> None:
+        """Starts the Poisson arrivals of a controller."""
+
         def next_call() -> None:
             self.place_call(controller, self.rng.getrandbits(40))
             self.call_later(self.rng.expovariate(self.rate * controller.share), next_call)
--- a/benchmarks/faultyfiles.py
+++ b/benchmarks/faultyfiles.py
@@ -30,6 +30,7 @@
         return self.durable + b"".join(self.pending)
 
     def copy(self) -> _File:
+        """An independent copy."""
         other = _File()
         other.durable, other.pending = self.durable, list(self.pending)
         return other
@@ -42,6 +43,8 @@
         self._files, self._file = files, file
 
     def write(self, data: bytes) -> None:
+        """Appends; writes half of the data if the power fails, and what fits if the disk is full."""
+
         def write_half() -> None:
             self._file.pending.append(data[: len(data) // 2])
 
@@ -53,6 +56,7 @@
         self._file.pending.append(data)
 
     def sync(self) -> None:
+        """Makes the writes durable, unless syncs fail or are only claimed."""
         if self._files.fail_syncs:
             self._files.operation("sync", lambda: None)
             raise OSError(errno.EIO, "Input/output error")
@@ -98,12 +102,15 @@
             raise Crash(kind)
 
     def names(self) -> list[str]:
+        """The names that a process sees."""
         return sorted(self.present)
 
     def read(self, name: str) -> bytes:
+        """The contents that a process sees."""
         return self.present[name].data
 
     def append(self, name: str) -> Handle:
+        """Opens a file for appending; creates it if there is none."""
         self.operation("create", lambda: None)
         if name not in self.present:
             file = self.present[name] = _File()
@@ -111,11 +118,13 @@
         return _Handle(self, self.present[name])
 
     def truncate(self, name: str, size: int) -> None:
+        """Cuts a file, durably."""
         self.operation("truncate", lambda: None)
         file = self.present[name]
         file.durable, file.pending = file.data[:size], []
 
     def rename(self, old: str, new: str) -> None:
+        """Renames a file; durable after `sync_folder`."""
         self.operation("rename", lambda: None)
         file = self.present[new] = self.present.pop(old)
 
@@ -126,6 +135,7 @@
         self.name_changes.append(apply_rename)
 
     def remove(self, name: str) -> None:
+        """Removes a file; durable after `sync_folder`."""
         self.operation("remove", lambda: None)
         del self.present[name]
 
@@ -135,15 +145,18 @@
         self.name_changes.append(apply_removal)
 
     def sync_folder(self) -> None:
+        """Makes the present names durable."""
         self.operation("sync_folder", lambda: None)
         self.durable, self.name_changes = dict(self.present), []
 
     def lock(self) -> None:
+        """Raises `LockedError` if a process holds the lock."""
         if self.locked:
             raise LockedError("folder memory is in use by another process")
         self.locked = True
 
     def close(self) -> None:
+        """Releases the lock."""
         self.locked = False
 
     # Faults
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -128,6 +128,7 @@
         self.cpu_s = self.wall_s = 0.0
 
     async def run_beside(self, runner: ScenarioRunner) -> None:
+        """Runs the pinging process until shortly before the scenario ends."""
         command = [sys.executable, "-m", "benchmarks.fleet_rig", "--ping"]
         async with await anyio.open_process(command, cwd=ROOT, stderr=None, stdin=subprocess.PIPE) as process:
             assert process.stdin and process.stdout
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -164,7 +164,7 @@
 
     # The log
 
-    def _quorum(self, name: str) -> bool:
+    def _reaches_quorum(self, name: str) -> bool:
         """Whether it can now exchange messages with a majority, itself included."""
         instance = self.instances[name]
         reachable = sum(
@@ -181,7 +181,7 @@
 
     def elect(self) -> None:
         """Elects a leader at random; its predecessor may go on believing that it leads."""
-        candidates = [name for name in self.names if self._quorum(name)]
+        candidates = [name for name in self.names if self._reaches_quorum(name)]
         if not candidates:
             self.true_leader = ""
             return
@@ -226,7 +226,7 @@
         if (name, command) not in self.pending:
             return
         self.pending.remove((name, command))
-        if name == self.true_leader and self._quorum(name):
+        if name == self.true_leader and self._reaches_quorum(name):
             self._commit(command)
 
     def _catch_up(self, name: str) -> None:
@@ -293,7 +293,7 @@
         self.call_at(self.now + wait, partial(self._grant_lease, leader, name, number, index))
 
     def _grant_lease(self, leader: str, name: str, number: int, index: int) -> None:
-        if leader == self.true_leader and self._quorum(leader):
+        if leader == self.true_leader and self._reaches_quorum(leader):
             self.send(leader, name, partial(self.instances[name].lease.record_grant, number, index))
 
     # Faults
@@ -320,7 +320,7 @@
                 self.call_at(end, lambda: self.cut_links.difference_update(links))
             case "own":
                 self.inject_own_fault()
-        if not self.true_leader or not self._quorum(self.true_leader) or self.rng.random() < 0.3:
+        if not self.true_leader or not self._reaches_quorum(self.true_leader) or self.rng.random() < 0.3:
             self.elect()
 
     def run(self) -> None:
--- a/benchmarks/gap_load.py
+++ b/benchmarks/gap_load.py
@@ -52,19 +52,20 @@
         self.lock = threading.Lock()
 
     def run(self) -> None:
+        """Accepts connections until the socket is closed."""
         while True:
             try:
-                conn, _ = self.sock.accept()
+                connection, _ = self.sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._serve, args=(conn,), daemon=True).start()
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, conn: socket.socket) -> None:
+    def _serve(self, connection: socket.socket) -> None:
         decoder, ends = sip.Decoder(), []
-        conn.settimeout(0.05)
+        connection.settimeout(0.05)
         while True:
             try:
-                data = conn.recv(65536)
+                data = connection.recv(65536)
                 if not data:
                     return
             except TimeoutError:
@@ -78,12 +79,12 @@
                     with self.lock:
                         self.received.append((now, number, message.call))
                     reply = sip.response(message, 200, b"OK")
-                    conn.sendall(reply.replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer")
+                    connection.sendall(reply.replace(b"Content-Length: 0", b"Content-Length: 6") + b"answer")
                     ends.append((now + CALL_S, number, message.call))
             due = [call_end for call_end in ends if call_end[0] <= now]
             ends = [call_end for call_end in ends if call_end[0] > now]
             for _, number, call in due:
-                conn.sendall(sip.bye(number, call, 7, 16))
+                connection.sendall(sip.bye(number, call, 7, 16))
 
 
 class FakeBus(threading.Thread):
@@ -95,17 +96,18 @@
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def run(self) -> None:
+        """Accepts connections until the socket is closed."""
         while True:
             try:
-                conn, _ = self.sock.accept()
+                connection, _ = self.sock.accept()
             except OSError:
                 return
-            threading.Thread(target=self._repeat_number, args=(conn,), daemon=True).start()
+            threading.Thread(target=self._repeat_number, args=(connection,), daemon=True).start()
 
-    def _repeat_number(self, conn: socket.socket) -> None:
+    def _repeat_number(self, connection: socket.socket) -> None:
         try:
             while True:
-                conn.sendall(b"1\n")
+                connection.sendall(b"1\n")
                 time.sleep(1.0)
         except OSError:
             return
--- a/benchmarks/gap_model.py
+++ b/benchmarks/gap_model.py
@@ -96,6 +96,7 @@
         return known
 
     def act(self, instance: Instance[SlotAllocator]) -> None:
+        """Offers the calls of one tick and requests slots."""
         process, wall = self._process(instance), self.wall_time(instance.name)
         calls = CALLS_PER_S * TICK_S * self.skew[instance.name] / sum(self.skew.values())
         for _ in range(int(calls) + (self.rng.random() < calls % 1)):
--- a/benchmarks/limit_model.py
+++ b/benchmarks/limit_model.py
@@ -100,6 +100,7 @@
         self.splits += state is self.committed_state
 
     def on_applied(self, instance: Instance[Shares]) -> None:
+        """Gives the buckets new shares, and a new process new buckets."""
         name = instance.name
         if self.state_copies.get(name) is not instance.state:
             self.state_copies[name] = instance.state
@@ -110,6 +111,7 @@
             self.buckets[name].set_shares(self.shares(instance.state, name), instance.clock(self.now))
 
     def on_committed(self, command: Any) -> None:
+        """Checks that the shares, with what is still owed, stay within the limit."""
         allocation: LimitAllocation = self.committed_state.get("x")
         total = sum(allocation.ceiling(name) for name in self.names)
         if total > LIMIT_PER_S * (1 + ROUNDING_TOLERANCE):
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -101,6 +101,7 @@
         return known
 
     def on_committed(self, command: Any) -> None:
+        """Checks how many servers and controllers are out at once."""
         servers, controllers = (
             self.committed_state.excluded(SERVER),
             self.committed_state.excluded(CONTROLLER),
@@ -131,6 +132,7 @@
     def act_as_leader(
         self, instance: Instance[Orders], live: frozenset[str], unconfirmed_by: UnconfirmedBy
     ) -> None:
+        """Proposes what the policy decides; checks what a leaving server would leave."""
         fleet = FleetState(
             name=instance.name,
             now=self.now,
@@ -156,6 +158,7 @@
             self.elect()  # a leader that is to go out hands its leadership over
 
     def tick(self, instance: Instance[Orders]) -> None:
+        """Reports to the leader that a controller that is to go out is idle."""
         own_order, leader = instance.state.of(CONTROLLER, instance.name), self.true_leader
         process, clock = self._process(instance), instance.clock(self.now)
         process.calls = [end for end in process.calls if end > clock]
@@ -196,6 +199,7 @@
             raise Violation(f"{self.now:.3f}: {instance.name} is out, and sent to {server}")
 
     def inject_own_fault(self) -> None:
+        """A server fails, recovers, or is overloaded for a while."""
         server = self.rng.choice(SERVERS)
         if self.rng.random() < 0.5:
             self.overloaded ^= {server}
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -240,7 +240,7 @@
         node.written(writes, self.clock(host))
 
     def persist(self, storage: Storage, writes: Writes) -> None:
-        """Writes to disk what the node asks for."""
+        """Writes to disk what the node has to persist."""
         if writes.hard_state or writes.entries or writes.snapshot:
             storage.write(writes.hard_state, writes.entries, writes.snapshot)
 
