--- a/benchmarks/gap_auto.py
+++ b/benchmarks/gap_auto.py
@@ -37,9 +37,9 @@
 SET_BOUND_S = 1.0 + 0.5 * LEASE_S + AFTER_S + 0.5
 SET_BOUND_LEADER_LOST_S = SET_BOUND_S + 1.1 * LEASE_S + 2.0 + 1.1 * LEASE_S
 # From the end of a flood until its gap has ended: the remembered demand fades to the share of `per_s` that
-# still holds a gap (`HOLD_DEMAND`), the gap is relaxed in steps, each a little shorter than the time to live, and the
-# last step expires; one second is for commits. If the leader is lost, the time to live starts again after an
-# election.
+# still holds a gap (`HOLD_DEMAND`), the gap is relaxed in steps, each a little shorter than the time to live,
+# and the last step expires; one second is for commits. If the leader is lost, the time to live starts again
+# after an election.
 # Look-ups per second to the busy number.
 CALM_PER_S, FLOOD_PER_S = LOOKUPS_PER_S / 2, LOOKUPS_PER_S * FLOOD_FACTOR / 2
 FADE_S = AVERAGING_TIME_S * log((FLOOD_PER_S - CALM_PER_S) / (HOLD_DEMAND * THRESHOLD_PER_S - CALM_PER_S))
