--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -168,7 +168,7 @@
     with tempfile.TemporaryDirectory() as folder:
         runner = ScenarioRunner(scenario, options.seed, Path(folder), beside=pinger.run_beside)
         report = anyio.run(runner.run)
-    for violation in report.told:
+    for violation in report.kept_violations:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
     direct, relayed = pinger.round_trips
     quantiles = {
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -260,12 +260,12 @@
         if clock >= instance.next_request_at:
             instance.next_request_at = clock + RENEW_INTERVAL_S
             self._request_lease(name)
-        if instance.believes_leader and not instance.grants.waits_for(0, clock):
+        if instance.believes_leader and not instance.grants.unconfirmed_by(0, clock):
             grants = instance.grants
             skip = self.broken == "no_confirmation"
 
             def unconfirmed_by(index: int) -> list[str]:
-                return [] if skip else grants.waits_for(index, clock)
+                return [] if skip else grants.unconfirmed_by(index, clock)
 
             self.act_as_leader(instance, frozenset(grants.holders(clock)), unconfirmed_by)
         self.tick(instance)
--- a/benchmarks/gap_auto.py
+++ b/benchmarks/gap_auto.py
@@ -117,7 +117,7 @@
     scenario = make_scenario(table(options.instances, options.seconds, options.seed), "gap_auto")
     with tempfile.TemporaryDirectory() as folder:
         report = anyio.run(ScenarioRunner(scenario, options.seed, Path(folder)).run)
-    for violation in report.told[:10]:
+    for violation in report.kept_violations[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
     return print_line(make_line(options, report))
 
--- a/benchmarks/gap_fleet.py
+++ b/benchmarks/gap_fleet.py
@@ -89,7 +89,7 @@
     scenario = make_scenario(scenario_table, "gap_fleet")
     with tempfile.TemporaryDirectory() as folder:
         report = anyio.run(ScenarioRunner(scenario, options.seed, Path(folder)).run)
-    for violation in report.told[:10]:
+    for violation in report.kept_violations[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
     fault_periods = trouble(report.events, report.start, report.seconds)
     steady_parts, at = [], 3.0
--- a/benchmarks/heal_model.py
+++ b/benchmarks/heal_model.py
@@ -28,7 +28,14 @@
     sum_results,
 )
 from harepick.fleet.membership.absences import LEAVING, SetMemberState
-from harepick.fleet.membership.policy import Add, FleetState, Member, MembershipSettings, Remove, decide
+from harepick.fleet.membership.policy import (
+    Add,
+    Member,
+    MembershipFleetState,
+    MembershipSettings,
+    Remove,
+    decide,
+)
 from harepick.store.node import Node
 from harepick.store.raft.core import BadChangeError, BusyError, NotLeaderError, Role
 from harepick.store.state_machine import Envelope
@@ -101,7 +108,7 @@
     def _check_members(self, host: Host, lost_since: dict[str, float]) -> None:
         node, now = host.node, self.clock(host)
         assert node
-        if node.stopped or node.raft.role is not Role.LEADER or node.grants.waits_for(0, now):
+        if node.stopped or node.raft.role is not Role.LEADER or node.grants.unconfirmed_by(0, now):
             lost_since.clear()
             return
         fleet = self._fleet_state(host, node, lost_since, now)
@@ -124,7 +131,9 @@
                     node.add(instance, address, lambda answer: None)
                     self.stats["taken_back"] += 1
 
-    def _fleet_state(self, host: Host, node: Node, lost_since: dict[str, float], now: float) -> FleetState:
+    def _fleet_state(
+        self, host: Host, node: Node, lost_since: dict[str, float], now: float
+    ) -> MembershipFleetState:
         members = {member.id: Member(member.address, member.voter) for member in node.raft.membership.members}
         live = node.grants.holders(now)
         for name in members:
@@ -134,7 +143,7 @@
                 lost_since.setdefault(name, now)
         for name in [name for name in lost_since if name not in members]:
             del lost_since[name]
-        return FleetState(
+        return MembershipFleetState(
             name=host.name,
             now=now,
             membership_committed=node.raft.membership_index <= node.raft.commit,
@@ -151,7 +160,7 @@
             in_maintenance=frozenset(),
         )
 
-    def _check_removal(self, instance: str, fleet: FleetState) -> None:
+    def _check_removal(self, instance: str, fleet: MembershipFleetState) -> None:
         if not fleet.members[instance].voter:
             return
         remaining = fleet.voters - {instance}
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -221,7 +221,7 @@
         folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
         report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=issue_verdicts).run)
-    for violation in report.told[:10]:
+    for violation in report.kept_violations[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
     result = statistics(report)
     line = {
--- a/benchmarks/limit_model.py
+++ b/benchmarks/limit_model.py
@@ -21,7 +21,7 @@
 from harepick.fleet.limits.caller_buckets import CallerBuckets
 from harepick.fleet.limits.limit_buckets import Limit, LimitBuckets
 from harepick.fleet.limits.manager import MAX_STEPS
-from harepick.fleet.limits.policy import ALL_CALLERS, FleetState, budgets, caller_limit_key, steps
+from harepick.fleet.limits.policy import ALL_CALLERS, LimitFleetState, budgets, caller_limit_key, steps
 from harepick.fleet.limits.shares import LimitAllocation, RefusedSplitError, Shares
 
 LIMIT_PER_S, BURST_S = 40.0, 0.25  # calls per second over the fleet; seconds of a share that a bucket holds
@@ -122,7 +122,7 @@
     def act_as_leader(
         self, instance: Instance[Shares], live: frozenset[str], unconfirmed_by: UnconfirmedBy
     ) -> None:
-        fleet = FleetState(instance.name, 0, live, self.reported_demand, unconfirmed_by)
+        fleet = LimitFleetState(instance.name, 0, live, self.reported_demand, unconfirmed_by)
         for step in steps(instance.state, self.budgets(instance.state), fleet)[:MAX_STEPS]:
             self.propose(instance.name, step)
 
--- a/benchmarks/maint_fleet.py
+++ b/benchmarks/maint_fleet.py
@@ -101,10 +101,10 @@
         folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
         report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=maintenance.run).run)
-    for violation in report.told:
+    for violation in report.kept_violations:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-        for event in violation.stretch[:5]:
-            print(f"    {event.told(report.start)}", file=sys.stderr)
+        for event in violation.events[:5]:
+            print(f"    {event.as_row(report.start)}", file=sys.stderr)
     finished = maintenance.asked == maintenance.done == rounds * len(machines)
     line = {
         "benchmark": "maint_fleet",
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -24,7 +24,7 @@
     ReportIdle,
     RequestMaintenance,
 )
-from harepick.fleet.maintenance.policy import FleetState, Group, MaintenanceSettings, decide
+from harepick.fleet.maintenance.policy import Group, MaintenanceFleetState, MaintenanceSettings, decide
 
 SERVERS = tuple(f"s{n}" for n in range(4))
 SERVER_GROUP = frozenset({"s0", "s1"})
@@ -133,7 +133,7 @@
         self, instance: Instance[Orders], live: frozenset[str], unconfirmed_by: UnconfirmedBy
     ) -> None:
         """Proposes what the policy decides; checks what a leaving server would leave."""
-        fleet = FleetState(
+        fleet = MaintenanceFleetState(
             name=instance.name,
             now=self.now,
             revision=0,
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -54,9 +54,11 @@
 class Caller:
     gone = False
     def stands(self, description): pass
-    def refused(self, stay_away): raise SystemExit("refused")
+    established = stands
+    def refused(self, retry_after): raise SystemExit("refused")
     def failed(self): raise SystemExit("failed")
     def over(self, *, cut): pass
+    ended = over
     def clashes(self): raise SystemExit("clashes")
     duplicate_id = clashes
 
@@ -71,11 +73,13 @@
 process = engine.process if hasattr(engine, "process") else engine.turn
 start(i.ServerList(i.ListKind.ALL, (i.ServerEntry("a", 0, "ready"),)))
 caller = Caller()
+number_field = "called_number" if "called_number" in Offer.__dataclass_fields__ else "called"
+called = {number_field: "+94112345678"}
 def calls(count):
     global now
     for n in range(count):
         now += 0.01
-        process([Offer(f"c{now}", "look-up", 0, n, now + 2.0, caller, b"", called="+94112345678")])
+        process([Offer(f"c{now}", "look-up", 0, n, now + 2.0, caller, b"", **called)])
         attempt = port.out
         process([Answered(attempt.call, attempt.number, attempt.server, b"x", lasting=False)])
 calls(500)
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -37,7 +37,7 @@
 from harepick.store.client import StoreClient
 from harepick.store.disk.files import OsFiles
 from harepick.store.disk.storage import Identity, Storage, create
-from harepick.store.raft.messages import Entry, HardState, Kind, Member, Membership
+from harepick.store.raft.messages import Entry, EntryKind, HardState, Member, Membership
 from harepick.store.state_machine import Envelope, Put, encode
 
 LOOKUPS_PER_S = 200.0
@@ -137,7 +137,7 @@
     storage.open()
     for first in range(1, entries + 1, 500):
         batch = [
-            Entry(n, 1, Kind.COMMAND, encode(Envelope(f"s{n % 50}", n, Put(f"# {n}\n{text}"))))
+            Entry(n, 1, EntryKind.COMMAND, encode(Envelope(f"s{n % 50}", n, Put(f"# {n}\n{text}"))))
             for n in range(first, min(first + 500, entries + 1))
         ]
         storage.write(HardState(1, "r0") if first == 1 else None, tuple(batch), None)
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -168,7 +168,7 @@
             found.entries,
             self.clock(host),
             lease=LEASE_S,
-            adopt=adopt,
+            on_revision=adopt,
             snapshot_every=25,
             raft=self.raft,
         )
@@ -223,14 +223,14 @@
         self._check(host)
         for waiter, answer in output.answers:
             waiter(answer)  # type: ignore[operator]
-        if host.writing is None and (writes := node.writes()):
+        if host.writing is None and (writes := node.take_writes()):
             host.writing = writes
             duration = self.rng.uniform(0.0005, 0.01)
             self.call_later(duration, lambda: self._run(host, incarnation, lambda: self._write(host, writes)))
         if host.writing is None and (snapshot := node.snapshot_due()):
             self.stats["snapshots"] += 1
             storage.save(snapshot)
-            node.compacted(snapshot)
+            node.snapshot_durable(snapshot)
 
     def _write(self, host: Host, writes: Writes) -> None:
         node, storage = host.node, host.storage
--- a/harepick/cli/fleet.py
+++ b/harepick/cli/fleet.py
@@ -44,10 +44,10 @@
 def _print_violations(violations: Sequence[Violation], start: float) -> None:
     for violation in violations:
         click.echo(f"{violation.check}: {violation.why}", err=True)
-        for event in violation.stretch[:MAX_PRINTED_EVENTS]:
-            click.echo(f"    {orjson.dumps(event.told(start)).decode()}", err=True)
-        if len(violation.stretch) > MAX_PRINTED_EVENTS:
-            click.echo(f"    ... and {len(violation.stretch) - MAX_PRINTED_EVENTS} more", err=True)
+        for event in violation.events[:MAX_PRINTED_EVENTS]:
+            click.echo(f"    {orjson.dumps(event.as_row(start)).decode()}", err=True)
+        if len(violation.events) > MAX_PRINTED_EVENTS:
+            click.echo(f"    ... and {len(violation.events) - MAX_PRINTED_EVENTS} more", err=True)
 
 
 @fleet.command(epilog=FLEET_EXIT_CODES)
@@ -82,7 +82,7 @@
         report = anyio.run(ScenarioRunner(parsed, seed, folder, seconds, print_progress).run)
         if plot:
             plot_module.draw(report, Path(plot))
-    _print_violations(report.told, report.start)
+    _print_violations(report.kept_violations, report.start)
     click.echo(orjson.dumps(report.line()).decode())
     sys.exit(0 if report.ok else REFUSED)
 
@@ -96,7 +96,7 @@
 def timeline(scenario: str, seed: int, seconds: float | None) -> None:
     """Print the steps of SCENARIO with their times; nothing is started."""
     for step in _read_scenario(scenario).timeline(seed, seconds):
-        click.echo(orjson.dumps(step.told()).decode())
+        click.echo(orjson.dumps(step.as_row()).decode())
 
 
 @fleet.command(epilog=FLEET_EXIT_CODES)
--- a/harepick/cli/store.py
+++ b/harepick/cli/store.py
@@ -220,7 +220,7 @@
     snapshot may never have been acknowledged."""
     import orjson
 
-    from harepick.store.raft.messages import Kind
+    from harepick.store.raft.messages import EntryKind
     from harepick.store.state_machine import FormatError, StateMachine
 
     found = _read_folder(operator)
@@ -229,7 +229,7 @@
         if found.snapshot.data:
             state_machine.restore(found.snapshot.data)
         for entry in found.entries:
-            if entry.kind == Kind.COMMAND:
+            if entry.kind == EntryKind.COMMAND:
                 state_machine.apply(entry.index, entry.data)
     except FormatError as error:
         fail(str(error), REFUSED)
--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -25,13 +25,13 @@
     CallOver,
     ConcurrencyLimit,
     ControllerEvent,
-    Gate,
     Message,
     Offer,
     ReplaceSettings,
     Screen,
+    SendPermission,
     ServerDied,
-    Servers,
+    ServersPort,
 )
 from harepick.core.timers import Timers
 from harepick.counters import Counters
@@ -50,20 +50,20 @@
     """Runs the controller on messages from the inbox and keeps the table of open calls.
 
     `capacity` is the number of calls that may be open at once; `clock` returns Unix time in seconds. Without
-    a `gate` calls may always start; without a `screen` no call is refused by a gap or limit.
+    a `send_permission` calls may always start; without a `screen` no call is refused by a gap or limit.
     """
 
     def __init__(
         self,
         settings: interface.Settings,
         seed: int,
-        servers: Servers,
+        servers: ServersPort,
         inbox: Inbox,
         counters: Counters,
         log: Log,
         capacity: int = 20_000,
         clock: Callable[[], float] = time.time,
-        gate: Gate | None = None,
+        send_permission: SendPermission | None = None,
         screen: Screen | None = None,
     ) -> None:
         self._inbox = inbox
@@ -72,7 +72,7 @@
         self._counters = counters
         self._log = log
         self._clock = clock
-        self._gate = gate
+        self._send_permission = send_permission
         self.screen = screen  # set by the service when gaps are configured, also at a reload
         self._calls = CallTable(capacity)
         self._timers: Timers[int | Attempt | CallRecord] = Timers()
@@ -148,7 +148,7 @@
         for message in messages:
             if not isinstance(message, ConcurrencyLimit):
                 events += self._translate(message, now)
-        if self._gate and (wait := self._gate.closed_for()) is not None:
+        if self._send_permission and (wait := self._send_permission.closed_for()) is not None:
             events += self._refuse_waiting(wait)
         for timer in self._timers.due(now):
             if isinstance(timer, Attempt):
@@ -185,7 +185,7 @@
         """Releases all standing calls, at the end of the program."""
         for record in self._calls.standing():
             self._servers.release(str(record.standing_server), record.offer.call)
-            record.offer.caller.over(cut=True)
+            record.offer.caller.ended(cut=True)
             self._counters.add("calls.cut_at_exit")
 
     # Messages into events
@@ -250,12 +250,12 @@
             self._counters.add("answers.no_room")
             offer.caller.refused(self._retry_advice(self._settings.max_advice))
             return []
-        if self._gate and (wait := self._gate.closed_for()) is not None:
+        if self._send_permission and (wait := self._send_permission.closed_for()) is not None:
             self._counters.add("answers.not_current")
             offer.caller.refused(self._retry_advice(wait))
             return []
         if self.screen:
-            wait = self.screen.retry_after(offer.called, offer.class_name, now, offer.source)
+            wait = self.screen.retry_after(offer.called_number, offer.class_name, now, offer.source)
             if wait is not None:
                 self._counters.add("answers.gapped")  # neither the controller nor a server sees it
                 advice = self._settings.max_advice
@@ -300,11 +300,11 @@
         attempt.ended = True
         record.open_attempt = None
         record.answered = True
-        record.offer.caller.stands(message.description)
+        record.offer.caller.established(message.description)
         if self.screen is not None:
-            self.screen.ended(record.offer.called, True)
+            self.screen.record_outcome(record.offer.called_number, True)
         self._counters.add("answers.stands")
-        elapsed = now - (attempt.sent or attempt.placed)
+        elapsed = now - (attempt.sent or attempt.placed_at)
         events: list[interface.Event] = [
             interface.CallStands(message.call, message.attempt, message.server, elapsed)
         ]
@@ -329,7 +329,7 @@
         self._counters.add(f"attempts.{outcome.value}")
         if attempt.cancel_requested and outcome not in NO_EFFECT_OUTCOMES:
             outcome = interface.Outcome.CANCELLED
-        elapsed = now - (attempt.sent or attempt.placed)
+        elapsed = now - (attempt.sent or attempt.placed_at)
         self._calls.remove_if_ended(record)
         return [
             interface.AttemptEnded(
@@ -355,7 +355,7 @@
         return [interface.CallerLeft(record.offer.call)]
 
     def _refuse_waiting(self, wait: float) -> list[interface.Event]:
-        """Refuses calls that wait for a server while the gate is closed; open attempts go on."""
+        """Refuses calls that wait for a server while the send permission is closed; open attempts go on."""
         waiting = [record for record in self._calls.unanswered() if record.open_attempt is None]
         for record in waiting:
             self._counters.add("answers.not_current")
@@ -387,7 +387,7 @@
         server = str(record.standing_server)
         record.standing_server = None
         if notify_caller:
-            record.offer.caller.over(cut=outcome is not interface.Outcome.OK)
+            record.offer.caller.ended(cut=outcome is not interface.Outcome.OK)
         self._counters.add(f"calls.{outcome.value}")
         self._calls.remove_if_ended(record)
         return interface.AttemptEnded(
@@ -444,7 +444,7 @@
             return None
         record.answered = True
         if self.screen is not None:
-            self.screen.ended(record.offer.called, False)
+            self.screen.record_outcome(record.offer.called_number, False)
         self._calls.remove_if_ended(record)
         return record
 
@@ -466,8 +466,8 @@
             outcome = self._servers.place(attempt)
         if outcome is None:
             self._timers.set(deadline, attempt)
-            if self._gate:
-                self._gate.record_sent(attempt)
+            if self._send_permission:
+                self._send_permission.record_sent(attempt)
             return
         record.open_attempt = attempt
         self._follow_up_events.extend(self._on_attempt_ended(attempt, outcome, now))
@@ -496,8 +496,8 @@
         # The message that its caller has left may still be in the inbox.
         if record is None or record.answered or record.offer.caller.gone:
             return False
-        if self._gate is None:
+        if self._send_permission is None:
             return True
         if attempt.sent is None:
             attempt.checked_at = now
-        return self._gate.may_send(attempt.server)
+        return self._send_permission.may_send(attempt.server)
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -18,16 +18,16 @@
 
     gone: bool  # the caller has left or given up its set-up; set as soon as that is read
 
-    def stands(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         """The call stands; `description` is the server's answer, unchanged."""
 
-    def refused(self, stay_away: float) -> None:
-        """The call is refused; the caller may try again after `stay_away` seconds (0: no advice)."""
+    def refused(self, retry_after: float) -> None:
+        """The call is refused; the caller may try again after `retry_after` seconds (0: no advice)."""
 
     def failed(self) -> None:
         """The call has failed."""
 
-    def over(self, *, cut: bool) -> None:
+    def ended(self, *, cut: bool) -> None:
         """The standing call has ended; `cut`: not by a normal release."""
 
     def duplicate_id(self) -> None:
@@ -47,7 +47,7 @@
     request: object
     redial: bool = False  # passed to the controller
     again: bool = False  # the caller marked the set-up as a redial; not passed to the controller
-    called: str = ""  # the number called, in the form of the numbering plan
+    called_number: str = ""  # the number called, in the form of the numbering plan
     source: str = ""  # the caller's address, if known
 
 
@@ -58,12 +58,12 @@
     call: str
     number: int
     server: str
-    placed: float  # when the controller decided on it
+    placed_at: float  # when the controller decided on it
     deadline: float
     request: object
     send_check: Callable[[Attempt, float], bool] = field(repr=False)  # takes the attempt and the time
     sent: float | None = None  # when it was written to the connection
-    checked_at: float = 0.0  # when the gate last allowed it, right before it was written
+    checked_at: float = 0.0  # when `SendPermission` last allowed it, right before it was written
     ended: bool = False
     cancel_requested: bool = False  # a cancel was ordered; the server may still answer
 
@@ -72,7 +72,7 @@
         return self.send_check(self, now)
 
 
-class Servers(Protocol):
+class ServersPort(Protocol):
     """The port to the setup servers. No method may block."""
 
     def place(self, attempt: Attempt) -> interface.Outcome | None:
@@ -85,7 +85,7 @@
         """Releases a call that stands, or was answered too late."""
 
 
-class Gate(Protocol):
+class SendPermission(Protocol):
     """Tells whether this instance may accept calls and send set-ups, as by a lease of the store.
 
     Checked right before each of them."""
@@ -103,14 +103,14 @@
 class Screen(Protocol):
     """Number gapping and limits, checked before a call is accepted."""
 
-    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called_number: str, class_name: str, now: float, source: str = "") -> float | None:
         """None if the call passes; else it is refused, and its caller may try again after these seconds.
 
         `source` is the caller's address, if known.
         """
 
-    def ended(self, called: str, good: bool) -> None:
-        """Reports the final answer of a call that passed; `good` is True if the call stands."""
+    def record_outcome(self, called_number: str, succeeded: bool) -> None:
+        """Reports the final answer of a call that passed; `succeeded` is True if the call stands."""
 
 
 # Messages from the listeners
--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -70,7 +70,7 @@
         self.query, self._client, self.lane = query, client, lane
         self.gone = False
 
-    def stands(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         """Answers with the records of the upstream's reply."""
         size_limit = self._client.max_answer_size(self.query)
         try:
@@ -82,9 +82,11 @@
         else:
             self._finish(data, "served")
 
-    def refused(self, stay_away: float) -> None:
+    def refused(self, retry_after: float) -> None:
         """Answers SERVFAIL; the extended error says how many seconds to stay away, if any."""
-        text = f"overloaded, stay away for {round(stay_away * 1000)} ms" if stay_away > 0 else "overloaded"
+        text = (
+            f"overloaded, stay away for {round(retry_after * 1000)} ms" if retry_after > 0 else "overloaded"
+        )
         self._finish_with(
             codec.make_response(self.query, dns.rcode.SERVFAIL, codec.NOT_READY, text), "refused"
         )
@@ -93,7 +95,7 @@
         """Answers SERVFAIL: no upstream answered."""
         self._finish_with(codec.make_response(self.query, dns.rcode.SERVFAIL, codec.NETWORK_ERROR), "failed")
 
-    def over(self, *, cut: bool) -> None:
+    def ended(self, *, cut: bool) -> None:
         """Does nothing: a look-up ends with its answer."""
 
     def duplicate_id(self) -> None:
@@ -261,7 +263,7 @@
                 deadline=now + max(config.deadline - ANSWER_MARGIN_S, config.deadline / 2),
                 caller=lookup,
                 request=query.question,
-                called=number,
+                called_number=number,
                 source=client.host,
             )
         )
--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -21,7 +21,7 @@
 from harepick import interface
 from harepick.core.engine import Engine
 from harepick.core.inbox import Inbox
-from harepick.core.messages import ConcurrencyLimit, ControllerEvent, Gate, Screen
+from harepick.core.messages import ConcurrencyLimit, ControllerEvent, Screen, SendPermission
 from harepick.counters import Counters
 from harepick.directory import Directory, ServerRecord
 from harepick.enumdns.listener import ActiveConfig, DnsListener
@@ -62,7 +62,7 @@
         directory: Directory,
         counters: Counters,
         log: Log,
-        gate: Gate | None,
+        send_permission: SendPermission | None,
         screen: Screen | None = None,
     ) -> None:
         settings = config.settings
@@ -80,7 +80,7 @@
             counters,
             log,
             config.open_lookups,
-            gate=gate,
+            send_permission=send_permission,
             screen=screen,
         )
         self.scope = anyio.CancelScope()
@@ -117,14 +117,14 @@
         log: Log,
         *,
         path: str | None = None,
-        gate: Gate | None = None,
-        outer: FleetScreen | None = None,
+        send_permission: SendPermission | None = None,
+        fleet_screen: FleetScreen | None = None,
     ) -> None:
         """`path`: the operator's file, read again by `reload`; without it, changes come only by `apply`.
 
-        `outer`: the fleet's limits and verdicts, checked before the gaps.
+        `fleet_screen`: the fleet's limits and verdicts, checked before the gaps.
         """
-        self._path, self._counters, self._log, self._gate = path, counters, log, gate
+        self._path, self._counters, self._log, self._send_permission = path, counters, log, send_permission
         self._config = config
         self.directory = Directory()
         self._numbers: dict[str, int] = {}  # server -> its number, which never changes
@@ -133,10 +133,10 @@
         self._generations: list[Generation] = []
         self._listener: DnsListener | None = None
         self._screen: GapScreen | None = None  # None until gaps are configured
-        self._fleet_screen = outer
+        self._fleet_screen = fleet_screen
         # Upstream's name -> look-ups that may be in progress there.
         self._concurrency_limits: dict[str, float] = {}
-        self.owns: SlotOwnership | None = None  # in a fleet: which instance owns a gap's slot
+        self.owns_slot: SlotOwnership | None = None  # in a fleet: which instance owns a gap's slot
 
     def _apply_gaps(self, config: EnumSettings) -> str | None:
         """Sets, changes and lifts gaps as configured.
@@ -150,7 +150,7 @@
 
         screen = self._screen  # kept even without gaps: the cores hold a reference to it
         if screen is None:
-            screen = GapScreen(config.settings.zone, config.seed or 0, self.owns)
+            screen = GapScreen(config.settings.zone, config.seed or 0, self.owns_slot)
         now, rows = time.time(), config.gaps
         # In a configuration of the store, gaps that are over must not block a later change or a start.
         if self._path is None:
@@ -290,7 +290,7 @@
         except OSError as error:
             raise SettingsError(f"setting enum.listen: {config.listen}: {error.strerror}") from None
         async with tcp_listener, sock, anyio.create_task_group() as tasks:
-            first = Generation(config, self.directory, counters, log, self._gate, self.screen)
+            first = Generation(config, self.directory, counters, log, self._send_permission, self.screen)
             self._generations.append(first)
             await tasks.start(first.run, change)
             dns_listener = self._listener = DnsListener(self._active_config(config, first), counters, log)
@@ -327,7 +327,7 @@
                 await anyio.sleep(0.05)
             config, self._pending_config = self._pending_config or self._config, None
             generation = Generation(
-                config, self.directory, self._counters, self._log, self._gate, self.screen
+                config, self.directory, self._counters, self._log, self._send_permission, self.screen
             )
             await tasks.start(
                 generation.run, interface.ServerList(interface.ListKind.ALL, self.directory.entries())
--- a/harepick/enumdns/upstreams.py
+++ b/harepick/enumdns/upstreams.py
@@ -45,7 +45,7 @@
 
 
 class Upstreams:
-    """The core's port to the upstreams; implements `Servers`.
+    """The core's port to the upstreams; implements `ServersPort`.
 
     `payload`: bytes of the largest UDP reply that the queries ask for; `connect_timeout` is in seconds.
     """
--- a/harepick/fleet/checks.py
+++ b/harepick/fleet/checks.py
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One violation of a check; `stretch` holds the fewest events that show it, in order of time."""
+    """One violation of a check; `events` holds the fewest events that show it, in order of time."""
 
     check: str
     why: str
-    stretch: tuple[Event, ...]
+    events: tuple[Event, ...]
 
 
 @dataclass(slots=True)
@@ -38,10 +38,10 @@
     count: int = 0
     violations: list[Violation] = field(default_factory=list)
 
-    def add_violation(self, check: str, why: str, *stretch: Event | None) -> None:
+    def add_violation(self, check: str, why: str, *events: Event | None) -> None:
         self.count += 1
         if len(self.violations) < MAX_KEPT_VIOLATIONS:
-            self.violations.append(Violation(check, why, tuple(e for e in stretch if e is not None)))
+            self.violations.append(Violation(check, why, tuple(e for e in events if e is not None)))
 
 
 CheckFunction = Callable[[Sequence[Event], Mapping[str, Any]], Finding]
--- a/harepick/fleet/child.py
+++ b/harepick/fleet/child.py
@@ -65,11 +65,11 @@
     """Breaks the rule that a server has failed only once several instances have avoided it for long enough,
     and not when it is merely full."""
     from harepick.fleet.maintenance.manager import MaintenanceManager
-    from harepick.fleet.maintenance.policy import FleetState
+    from harepick.fleet.maintenance.policy import MaintenanceFleetState
 
     original = MaintenanceManager.fleet_state
 
-    def fleet_state(self: MaintenanceManager) -> FleetState | None:
+    def fleet_state(self: MaintenanceManager) -> MaintenanceFleetState | None:
         state = original(self)
         return replace(state, failed=state.failed | state.avoided, avoided=frozenset()) if state else None
 
--- a/harepick/fleet/history.py
+++ b/harepick/fleet/history.py
@@ -70,7 +70,7 @@
     def __getitem__(self, key: str) -> Any:
         return self.fields[key]
 
-    def told(self, start: float = 0.0) -> dict[str, Any]:
+    def as_row(self, start: float = 0.0) -> dict[str, Any]:
         """The event as it is printed, with the time `t` in seconds from `start`."""
         return {"t": round(self.mono - start, 6), "name": self.name, "event": self.event, **self.fields}
 
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -16,7 +16,7 @@
 from harepick.counters import Counters
 from harepick.fleet.health import AvoidanceTracker
 from harepick.fleet.limits.limit_buckets import Limit, LimitBuckets
-from harepick.fleet.limits.policy import ALL_CALLERS, FleetState, budgets, caller_limit_key, steps
+from harepick.fleet.limits.policy import ALL_CALLERS, LimitFleetState, budgets, caller_limit_key, steps
 from harepick.fleet.limits.settings import VerdictSettings
 from harepick.fleet.limits.shares import MAX_LIMITS, LimitCommand, Split
 from harepick.fleet.limits.verdicts import FAILED, GAPPED, IssueVerdict, LiftVerdict
@@ -95,7 +95,7 @@
         state_machine = self._replica.node.state_machine
         live, unconfirmed_by = leases
         members = frozenset(m.id for m in self._replica.node.raft.membership.members)
-        fleet_state = FleetState(
+        fleet_state = LimitFleetState(
             name=self._name,
             revision=inputs.revision,
             live=live & members - state_machine.orders.given_up(),
--- a/harepick/fleet/limits/policy.py
+++ b/harepick/fleet/limits/policy.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetState:
+class LimitFleetState:
     """The leader's view of the fleet.
 
     `unconfirmed_by(index)`: instances that may still act on a state older than that log entry.
@@ -109,7 +109,7 @@
     return split_budgets
 
 
-def steps(shares: Shares, budgets: Mapping[str, float], fleet_state: FleetState) -> list[LimitCommand]:
+def steps(shares: Shares, budgets: Mapping[str, float], fleet_state: LimitFleetState) -> list[LimitCommand]:
     """All commands that are due, at most one per limit, so that they do not affect each other.
 
     Releases and limits that were removed come first, then splits, the largest deviation first. `budgets`: the
@@ -155,7 +155,7 @@
 
 
 def _next_shares(
-    limit: str, budget: float, allocation: LimitAllocation, fleet_state: FleetState
+    limit: str, budget: float, allocation: LimitAllocation, fleet_state: LimitFleetState
 ) -> dict[str, float]:
     """The shares of a limit that may be allocated now."""
     demand = {name: row.get(limit, 0.0) for name, row in fleet_state.demands.items()}
--- a/harepick/fleet/limits/screen.py
+++ b/harepick/fleet/limits/screen.py
@@ -20,7 +20,7 @@
         buckets: LimitBuckets,
         clock: Callable[[], float],
         on_admitted: Callable[[str], None],
-        on_passed: Callable[[str, float], None] = lambda called, now: None,
+        on_passed: Callable[[str, float], None] = lambda called_number, now: None,
     ) -> None:
         """`clock` gives the time for token buckets, in seconds. `on_admitted` is called with the key of each
         limit that an admitted call counts against; `on_passed` with each number that passes the gaps, and the
@@ -33,28 +33,28 @@
         self.detector: Detector | None = None  # detects numbers for automatic gaps, if they are enabled
         self._clock, self._on_admitted, self._on_passed = clock, on_admitted, on_passed
 
-    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called_number: str, class_name: str, now: float, source: str = "") -> float | None:
         """None if the call is admitted, or else its Retry-After in seconds."""
         if self.blocked and in_networks(source, self.blocked):
             self.blocked_calls += 1
             return DEFAULT_RETRY_S
         if self.detector is not None:
-            self.detector.offered(called, self._clock())
+            self.detector.offered(called_number, self._clock())
         if not self.buckets and not self.gaps:
             return None
-        wait, names = self.buckets.take_tokens(called, class_name, source, self._clock())
+        wait, names = self.buckets.take_tokens(called_number, class_name, source, self._clock())
         if wait is not None:
             return wait
         if self.gaps:
-            if (wait := self.gaps.retry_after(called, class_name, now, source)) is not None:
+            if (wait := self.gaps.retry_after(called_number, class_name, now, source)) is not None:
                 self.buckets.return_tokens(names)
                 return wait
-            self._on_passed(called, now)
+            self._on_passed(called_number, now)
         for name in names:
             self._on_admitted(name)
         return None
 
-    def ended(self, called: str, good: bool) -> None:
+    def record_outcome(self, called_number: str, succeeded: bool) -> None:
         """Reports the outcome of a call to the detector."""
         if self.detector is not None:
-            self.detector.ended(called, good, self._clock())
+            self.detector.ended(called_number, succeeded, self._clock())
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -17,7 +17,12 @@
 from harepick.counters import Counters
 from harepick.fleet.health import fleet_health
 from harepick.fleet.maintenance.orders import CONTROLLER, AdvanceOrder, Order, Orders, ReportIdle
-from harepick.fleet.maintenance.policy import FleetState, MaintenanceSettings, decide, waiting_reason
+from harepick.fleet.maintenance.policy import (
+    MaintenanceFleetState,
+    MaintenanceSettings,
+    decide,
+    waiting_reason,
+)
 from harepick.log import Log
 from harepick.store.raft.core import BadChangeError, BusyError, NotLeaderError
 from harepick.store.replica import Replica, StoreUnavailableError
@@ -57,7 +62,7 @@
         """The orders as last applied here."""
         return self._replica.node.state_machine.orders
 
-    def fleet_state(self) -> FleetState | None:
+    def fleet_state(self) -> MaintenanceFleetState | None:
         """Input of the policy; None while this instance does not lead, or has no configuration."""
         inputs, leases = self._inputs(), self._replica.leases()
         if inputs is None or leases is None:
@@ -68,7 +73,7 @@
         server_health = fleet_health(
             demands, live, inputs.settings.failed_after, inputs.failed, inputs.overloaded
         )
-        return FleetState(
+        return MaintenanceFleetState(
             name=self._name,
             now=time.time(),
             revision=inputs.revision,
@@ -128,7 +133,7 @@
 
     # Status
 
-    def describe(self, order: Order, fleet_state: FleetState | None) -> dict[str, Any]:
+    def describe(self, order: Order, fleet_state: MaintenanceFleetState | None) -> dict[str, Any]:
         """An order as shown to operators; `why` is None unless this instance leads."""
         inputs = self._inputs()
         waiting_for = (
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetState:
+class MaintenanceFleetState:
     """The leader's view of the fleet.
 
     `unconfirmed_by(index)`: instances that may still act on a state older than that log entry.
@@ -74,7 +74,7 @@
 
 
 def hold_reason(
-    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> HoldReason | None:
     """Why a waiting order may not start, regardless of those ahead of it; None if it may."""
     if fleet_state.now < order.opens:
@@ -88,7 +88,7 @@
 
 
 def _server_hold_reason(
-    server: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: FleetState
+    server: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> HoldReason | None:
     if server not in fleet_state.servers:
         return HoldReason(f"{server} is not among the servers that the configuration has ready")
@@ -116,7 +116,7 @@
 
 
 def _controller_hold_reason(
-    name: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: FleetState
+    name: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> HoldReason | None:
     if name not in fleet_state.controllers:
         return HoldReason(f"{name} is no member")
@@ -142,7 +142,7 @@
 
 
 def waiting_reason(
-    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+    order: Order, orders: Orders, settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> str:
     """Why an order does not advance; empty if nothing holds it back."""
     if order.state == "waiting":
@@ -159,7 +159,7 @@
     return ""
 
 
-def _leaving_hold_reason(order: Order, fleet_state: FleetState) -> str:
+def _leaving_hold_reason(order: Order, fleet_state: MaintenanceFleetState) -> str:
     """What a leaving order still waits for; empty if nothing."""
     if unconfirmed_by := fleet_state.unconfirmed_by(order.index):
         return f"not confirmed by {', '.join(sorted(unconfirmed_by))}"
@@ -172,7 +172,7 @@
 
 
 def due_advances(
-    orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+    orders: Orders, settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> Iterator[AdvanceOrder]:
     """Possible advances, in order of preference; only one may be proposed, as each assumes `orders`."""
     for order in orders.open:
@@ -190,14 +190,20 @@
 
 
 def _advance(
-    order: Order, to: str, orders: Orders, fleet_state: FleetState, without_lease: tuple[str, ...] = ()
+    order: Order,
+    to: str,
+    orders: Orders,
+    fleet_state: MaintenanceFleetState,
+    without_lease: tuple[str, ...] = (),
 ) -> AdvanceOrder:
     return AdvanceOrder(
         order.id, to, orders.version, fleet_state.revision, fleet_state.name, fleet_state.now, without_lease
     )
 
 
-def controller_state_changes(orders: Orders, fleet_state: FleetState) -> Iterator[SetControllerState]:
+def controller_state_changes(
+    orders: Orders, fleet_state: MaintenanceFleetState
+) -> Iterator[SetControllerState]:
     """Due changes of the states of controllers, from the leases and the membership."""
     for name in fleet_state.controllers:
         current = orders.controller_states.get(name)
@@ -211,7 +217,7 @@
 
 
 def decide(
-    orders: Orders, settings: MaintenanceSettings, fleet_state: FleetState
+    orders: Orders, settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> AdvanceOrder | SetControllerState | None:
     """The command to propose now; None if nothing is due."""
     return next(controller_state_changes(orders, fleet_state), None) or next(
--- a/harepick/fleet/membership/manager.py
+++ b/harepick/fleet/membership/manager.py
@@ -12,8 +12,8 @@
 from harepick.fleet.membership.absences import AbsenceList, SetMemberState
 from harepick.fleet.membership.policy import (
     Add,
-    FleetState,
     Member,
+    MembershipFleetState,
     MembershipSettings,
     Remove,
     Step,
@@ -51,7 +51,7 @@
         """The absent members as last applied here."""
         return self._replica.node.state_machine.absences
 
-    def fleet_state(self) -> FleetState | None:
+    def fleet_state(self) -> MembershipFleetState | None:
         """Input of the policy; None while this instance does not lead or know yet who holds a lease."""
         leases = self._replica.leases()
         if leases is None:
@@ -64,7 +64,7 @@
         }
         rejoin_attempts = self._replica.rejoin_attempts
         orders = self._replica.node.state_machine.orders
-        return FleetState(
+        return MembershipFleetState(
             name=self._replica.settings.replica,
             now=time.time(),
             membership_committed=raft.membership_index <= raft.commit,
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetState:
+class MembershipFleetState:
     """The leader's view of the fleet at one moment."""
 
     name: str  # the leader
@@ -73,7 +73,7 @@
 Step = SetMemberState | Remove | Add
 
 
-def removal_blocker(name: str, settings: MembershipSettings, fleet_state: FleetState) -> str:
+def removal_blocker(name: str, settings: MembershipSettings, fleet_state: MembershipFleetState) -> str:
     """Why a member may not be dropped; empty if it may be."""
     if name == fleet_state.name:
         return "it leads"
@@ -91,13 +91,16 @@
 
 
 def _set_state(
-    absent: AbsentMember, state: str, why: str, absences: AbsenceList, fleet_state: FleetState
+    absent: AbsentMember, state: str, why: str, absences: AbsenceList, fleet_state: MembershipFleetState
 ) -> SetMemberState:
     return SetMemberState(absent.instance, state, absences.version, fleet_state.name, why, at=fleet_state.now)
 
 
 def _next_step(
-    absent: AbsentMember, absences: AbsenceList, settings: MembershipSettings, fleet_state: FleetState
+    absent: AbsentMember,
+    absences: AbsenceList,
+    settings: MembershipSettings,
+    fleet_state: MembershipFleetState,
 ) -> Step | None:
     """The next step of an absent member."""
     name, member = absent.instance, fleet_state.members.get(absent.instance)
@@ -126,7 +129,9 @@
     return None
 
 
-def decide(absences: AbsenceList, settings: MembershipSettings, fleet_state: FleetState) -> Step | None:
+def decide(
+    absences: AbsenceList, settings: MembershipSettings, fleet_state: MembershipFleetState
+) -> Step | None:
     """The step to make now; None if nothing is due. Started changes are completed first."""
     if not fleet_state.membership_committed:
         return None
--- a/harepick/fleet/plot.py
+++ b/harepick/fleet/plot.py
@@ -91,8 +91,8 @@
     labels = sorted({what for what, *_ in rows})
     for what, since, until, colour in rows:
         axis.barh(labels.index(what), until - since, left=since, color=colour, height=0.6)
-    for violation in report.told:
-        for event in violation.stretch[-1:]:
+    for violation in report.kept_violations:
+        for event in violation.events[-1:]:
             axis.axvline(event.mono - report.start, color="k", linestyle="--")
     axis.set_yticks(range(len(labels)), labels)
     axis.set_xlim(0, end)
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -47,14 +47,14 @@
 @dataclass
 class Report:
     """The result of one run. `figures` are those of the checks and of the relay; `violations` counts them by
-    check; `told` holds the violations that the checks kept; `start` is a time of the monotonic clock."""
+    check; `kept_violations` holds those that the checks kept; `start` is a time of the monotonic clock."""
 
     scenario: str
     seed: int
     seconds: float
     figures: dict[str, Any] = field(default_factory=dict)
     violations: dict[str, int] = field(default_factory=dict)
-    told: list[Violation] = field(default_factory=list)
+    kept_violations: list[Violation] = field(default_factory=list)
     events: list[Event] = field(default_factory=list)
     start: float = 0.0
     error: str = ""
@@ -298,7 +298,7 @@
             case "link":
                 sender, receiver = self._link_ends(step)
                 self.network.set(sender, receiver, step.fault)
-                self.history.note("link", link=f"{sender}>{receiver}", fault=step.told().get("fault", {}))
+                self.history.note("link", link=f"{sender}>{receiver}", fault=step.as_row().get("fault", {}))
             case "kill_in_change":
                 self._kill_in_change_steps.append(step)
             case "fail_server" | "mend_server":
@@ -459,7 +459,7 @@
         paths = [self.folder / "rig.jsonl", *(i.history for i in self.instances.values())]
         report.events = merge(paths)
         report.start = self._started_at
-        figures, report.violations, report.told = run_checks(report.events, self.scenario.checks)
+        figures, report.violations, report.kept_violations = run_checks(report.events, self.scenario.checks)
         relay = self.relay.figures
         report.figures = {
             "instances": self.scenario.instances,
@@ -474,7 +474,7 @@
 
 
 def _describe(step: Step) -> str:
-    row = step.told()
+    row = step.as_row()
     return " ".join(f"{key}={value}" for key, value in row.items() if key != "at")
 
 
--- a/harepick/fleet/scenario.py
+++ b/harepick/fleet/scenario.py
@@ -87,7 +87,7 @@
     key: int = 0  # number of the fault that the step is part of; a role is resolved once for all its steps
     mode: str = ""  # one of `MODES`, for a failing server
 
-    def told(self) -> dict[str, Any]:
+    def as_row(self) -> dict[str, Any]:
         """The step as it is printed and recorded; empty fields are left out."""
         row: dict[str, Any] = {"at": round(self.at, 3), "what": self.what}
         if self.whom:
--- a/harepick/gapping/screen.py
+++ b/harepick/gapping/screen.py
@@ -73,7 +73,7 @@
                 self._rows[row.id] = (row, new_gaps[row.id])
         return changes
 
-    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called_number: str, class_name: str, now: float, source: str = "") -> float | None:
         """None if the call passes every gap that applies to it, or else its Retry-After in seconds.
 
         That is the time until the gap that refused it may pass a call, plus a random part of one interval.
@@ -83,7 +83,7 @@
             self._expiry_checked_at = now
             for gap in self._gaps.expire(now):
                 self._rows.pop(gap.id, None)
-        decision = self._gaps.decide(Call(called, class_name, self._zone), now, self.owns)
+        decision = self._gaps.decide(Call(called_number, class_name, self._zone), now, self.owns)
         if decision.passed:
             return None
         interval = self._rows[decision.gap][1].interval
@@ -91,12 +91,12 @@
             return decision.retry_after
         return decision.retry_after + self._rng.random() * interval  # docs/design/gapping.md
 
-    def ended(self, called: str, good: bool) -> None:
-        """Called when a call to that number has ended, `good` if with success; gaps do not depend on it."""
+    def record_outcome(self, called_number: str, succeeded: bool) -> None:
+        """Called when a call to that number has ended; gaps do not depend on whether it `succeeded`."""
 
-    def explain(self, called: str, class_name: str, now: float) -> list[Gap]:
+    def explain(self, called_number: str, class_name: str, now: float) -> list[Gap]:
         """The gaps that apply to such a call, most specific first; counts nothing."""
-        return [gap for gap, _ in self._gaps.explain(Call(called, class_name, self._zone), now)]
+        return [gap for gap, _ in self._gaps.explain(Call(called_number, class_name, self._zone), now)]
 
     def uses(self) -> list[tuple[str, float, int]]:
         """For each gap: its id, interval in seconds, and calls offered so far."""
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -47,14 +47,14 @@
     lane: str  # name of the call class, for the counters
     gone: bool = False
 
-    def stands(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         """Sends the answer: the call stands."""
         message = CallerMessage(self.call, binary.encode_answer(self.call, description), "answer")
         self.callers.write(self.connection, message, self.lane, "completed")
 
-    def refused(self, stay_away: float) -> None:
+    def refused(self, retry_after: float) -> None:
         """Sends a refusal, with the time after which to retry, in seconds, if positive."""
-        retry_after_ms = round(stay_away * 1000) if stay_away > 0 else None
+        retry_after_ms = round(retry_after * 1000) if retry_after > 0 else None
         encoded = binary.encode_release(self.call, CAUSE_CONGESTION, retry_after_ms)
         self.callers.write(self.connection, CallerMessage(self.call, encoded, "final"), self.lane, "rejected")
 
@@ -63,7 +63,7 @@
         message = CallerMessage(self.call, binary.encode_release(self.call, CAUSE_FAILURE), "final")
         self.callers.write(self.connection, message, self.lane, "failed")
 
-    def over(self, *, cut: bool) -> None:
+    def ended(self, *, cut: bool) -> None:
         """Sends the release of a standing call."""
         encoded = binary.encode_release(self.call, CAUSE_RESET if cut else CAUSE_NORMAL)
         self.callers.release(self.connection, CallerMessage(self.call, encoded, "release"))
@@ -318,7 +318,7 @@
                 caller=caller,
                 request=set_up.request,
                 again=set_up.again,
-                called=set_up.request.number.decode(),  # validated as ASCII
+                called_number=set_up.request.number.decode(),  # validated as ASCII
             )
         )
 
--- a/harepick/net/server_connection.py
+++ b/harepick/net/server_connection.py
@@ -332,7 +332,7 @@
         read from the socket yet."""
         now = time.time()
         if self.outbox.any(
-            lambda order: isinstance(order, Attempt) and now - order.placed > MAX_SEND_DELAY_S
+            lambda order: isinstance(order, Attempt) and now - order.placed_at > MAX_SEND_DELAY_S
         ):
             for _ in range(EVENT_LOOP_TURNS):
                 await anyio.lowlevel.checkpoint()
--- a/harepick/net/servers.py
+++ b/harepick/net/servers.py
@@ -18,7 +18,7 @@
 
 
 class Servers:
-    """The connection pools of all setup servers. Implements the core's `Servers` protocol; times in
+    """The connection pools of all setup servers. Implements the core's `ServersPort` protocol; times in
     seconds."""
 
     def __init__(
--- a/harepick/store/disk/frames.py
+++ b/harepick/store/disk/frames.py
@@ -19,7 +19,7 @@
 import google_crc32c
 
 from harepick.store.disk.files import StorageError
-from harepick.store.raft.messages import Entry, HardState, Kind
+from harepick.store.raft.messages import Entry, EntryKind, HardState
 
 FRAME_MAGIC = b"\xa5H"
 FRAME = struct.Struct("<2sBxIQI")
@@ -28,7 +28,7 @@
 SEGMENT_MAGIC = b"harepick"
 VERSION = 1
 DATA, MARK = 1, 2
-KINDS = {int(kind): kind for kind in Kind}
+KINDS = {int(kind): kind for kind in EntryKind}
 HARD_STATE = 255  # kind of a record of term and vote; a record of an entry has the entry's kind
 RESET = 254  # kind of a record that voids all entries before it: a snapshot replaced them
 MAX_PAYLOAD_BYTES = 256 * 1024 * 1024
--- a/harepick/store/leases.py
+++ b/harepick/store/leases.py
@@ -109,7 +109,7 @@
         """The instances that may act, and for how many more seconds."""
         return {name: expiry - now for name, expiry in self._expires_at.items() if expiry > now}
 
-    def waits_for(self, index: int, now: float) -> list[str]:
+    def unconfirmed_by(self, index: int, now: float) -> list[str]:
         """The instances that may still act on something older than `index`.
 
         A change at `index` may be acknowledged once the list is empty. While leases of an earlier leader may
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -16,7 +16,7 @@
 
 from harepick.store.leases import LEASE_S, Grants, Lease
 from harepick.store.raft.core import BusyError, Raft, Role, Writes
-from harepick.store.raft.messages import Entry, HardState, Kind, Message, Snapshot
+from harepick.store.raft.messages import Entry, EntryKind, HardState, Message, Snapshot
 from harepick.store.state_machine import (
     Done,
     Envelope,
@@ -132,16 +132,16 @@
         now: float,
         *,
         lease: float = LEASE_S,
-        adopt: Callable[[Revision], None] = lambda revision: None,
-        follow: Callable[[StateMachine], None] = lambda machine: None,
+        on_revision: Callable[[Revision], None] = lambda revision: None,
+        on_state_changed: Callable[[StateMachine], None] = lambda machine: None,
         snapshot_every: int = SNAPSHOT_INTERVAL_ENTRIES,
         raft: type[Raft] = Raft,
     ) -> None:
         """Starts from what is durable: the hard state, the snapshot and the entries after it.
 
-        `adopt` is called with each new revision, `follow` when maintenance orders, shares of limits or
-        verdicts have changed. Both put the new state into effect: once they return, nothing older may be
-        acted on.
+        `on_revision` is called with each new revision, `on_state_changed` when maintenance orders, shares of
+        limits or verdicts have changed. Both put the new state into effect: once they return, nothing older
+        may be acted on.
 
         `lease` is the length of a lease in seconds, `snapshot_every` is in entries.
         Raises `FormatError` for another version's state.
@@ -154,9 +154,9 @@
         self.lease = Lease(lease, rng.getrandbits(62))
         self.grants = Grants(lease)
         self.stopped = ""  # why the replica has stopped; empty while it runs
-        self._adopt, self._follow = adopt, follow
+        self._on_revision, self._on_state_changed = on_revision, on_state_changed
         self._revision = 0  # last adopted
-        self._followed_versions = (0, 0, 0)  # of the orders, shares and verdicts passed to `follow`
+        self._followed_versions = (0, 0, 0)  # of the orders, shares and verdicts passed to `on_state_changed`
         self.demand: Mapping[str, float] = {}  # limit -> calls per second offered here
         self._sent_demand = False  # whether the last demand sent was not empty
         self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> time received, demand
@@ -276,9 +276,9 @@
         self.raft.outbox.clear()
         return output
 
-    def writes(self) -> Writes:
+    def take_writes(self) -> Writes:
         """Takes the next write, which must be durable before the following one is requested."""
-        return Writes() if self.stopped else self.raft.writes()
+        return Writes() if self.stopped else self.raft.take_writes()
 
     def written(self, writes: Writes, now: float) -> None:
         """Records that `writes` is durable."""
@@ -287,7 +287,7 @@
             self._track_leadership(now)
 
     def snapshot_due(self) -> Snapshot | None:
-        """A snapshot if one is due: the host makes it durable, then calls `compacted`."""
+        """A snapshot if one is due: the host makes it durable, then calls `snapshot_durable`."""
         last, applied = self.raft.snapshot.index, self.state_machine.applied
         many = applied - last >= self._snapshot_every
         large = self.raft.log.size(last + 1, applied) >= SNAPSHOT_INTERVAL_BYTES
@@ -302,12 +302,12 @@
         ):
             return None
         self._snapshot_in_progress = True
-        return self.raft.compact(self.state_machine.applied, self.state_machine.snapshot())
+        return self.raft.make_snapshot(self.state_machine.applied, self.state_machine.snapshot())
 
-    def compacted(self, snapshot: Snapshot) -> None:
+    def snapshot_durable(self, snapshot: Snapshot) -> None:
         """Records that the snapshot is durable."""
         self._snapshot_in_progress = False
-        self.raft.compacted(snapshot)
+        self.raft.snapshot_durable(snapshot)
 
     def next_check_at(self, now: float) -> float:
         """The next time at which the expiry of a lease may allow an acknowledgement."""
@@ -405,7 +405,7 @@
 
     def _apply_one(self, entry: Entry) -> None:
         change = self._pending_by_index.pop(entry.index, None)
-        if entry.kind != Kind.COMMAND:
+        if entry.kind != EntryKind.COMMAND:
             self.state_machine.skip(entry.index)
             if isinstance(change, _PendingMembership):
                 self._answers.append((change.waiter, entry.index))
@@ -432,10 +432,10 @@
         changed = False
         if versions != self._followed_versions:  # first: in force before a new revision is
             self._followed_versions, changed = versions, True
-            self._follow(self.state_machine)
+            self._on_state_changed(self.state_machine)
         if latest and latest.number != self._revision:
             self._revision, changed = latest.number, True
-            self._adopt(latest)
+            self._on_revision(latest)
         if changed and self.raft.leader and self.raft.leader != self.name:
             self._outbox.append((self.raft.leader, Adopted(self.state_machine.applied)))
         self.lease.record_applied(self.state_machine.applied)
@@ -444,7 +444,7 @@
     def _acknowledge(self, now: float) -> None:
         waiting = []
         for index, waiter, result in self._unacknowledged:
-            if self.grants.waits_for(index, now):
+            if self.grants.unconfirmed_by(index, now):
                 waiting.append((index, waiter, result))
             else:
                 self._answers.append((waiter, result))
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -26,10 +26,10 @@
     AppendEntries,
     AppendEntriesReply,
     Entry,
+    EntryKind,
     HardState,
     InstallSnapshot,
     InstallSnapshotReply,
-    Kind,
     Member,
     Membership,
     Message,
@@ -202,7 +202,7 @@
 
         Raises `NotLeaderError` and `BusyError`.
         """
-        return self._propose(Kind.COMMAND, data)
+        return self._propose(EntryKind.COMMAND, data)
 
     def add(self, name: str, address: str) -> tuple[int, int]:
         """Adds a replica as a learner, which is promoted to voter once it has caught up.
@@ -311,7 +311,7 @@
             self._broadcast()
         self._promote_learner()
 
-    def writes(self) -> Writes:
+    def take_writes(self) -> Writes:
         """Takes the next write; it must be durable before the following one is requested."""
         writes = Writes(messages_after=self._messages_after_write, snapshot=self._snapshot_to_write)
         self._messages_after_write, self._snapshot_to_write = [], None
@@ -346,17 +346,17 @@
         self.applied = max(self.applied, high)
         return entries
 
-    def compact(self, index: int, data: bytes) -> Snapshot:
+    def make_snapshot(self, index: int, data: bytes) -> Snapshot:
         """Makes a snapshot of the state after `index`, which the host has applied and encoded as `data`.
 
-        The host makes it durable and then calls `compacted`.
+        The host makes it durable and then calls `snapshot_durable`.
         """
         assert self.snapshot.index <= index <= self.applied
         term = self.log.term(index)
         assert term is not None
         return Snapshot(index, term, self.membership_at(index), data)
 
-    def compacted(self, snapshot: Snapshot) -> None:
+    def snapshot_durable(self, snapshot: Snapshot) -> None:
         """Records that the snapshot is durable, and drops entries that it covers except the latest."""
         if snapshot.index <= self.snapshot.index:
             return
@@ -479,7 +479,7 @@
         self._transfer_target = ""
         self.progress = {}
         self._track_members()
-        self._append([Entry(self.log.last_index + 1, self.term, Kind.NO_OP, b"")])
+        self._append([Entry(self.log.last_index + 1, self.term, EntryKind.NO_OP, b"")])
         self._broadcast()
 
     def _track_members(self) -> None:
@@ -502,10 +502,10 @@
     def _append(self, entries: list[Entry]) -> None:
         self.log.append(entries)
         for entry in entries:
-            if entry.kind == Kind.MEMBERSHIP:
+            if entry.kind == EntryKind.MEMBERSHIP:
                 self._memberships.append((entry.index, _membership_decoder.decode(entry.data)))
 
-    def _propose(self, kind: Kind, data: bytes) -> tuple[int, int]:
+    def _propose(self, kind: EntryKind, data: bytes) -> tuple[int, int]:
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         if self._transfer_target:
@@ -525,7 +525,7 @@
             raise BusyError("a change of the membership is under way")
         if self.log.term(self.commit) != self.term:
             raise BusyError("the leader has committed nothing of its term yet")
-        position = self._propose(Kind.MEMBERSHIP, msgspec.msgpack.encode(membership))
+        position = self._propose(EntryKind.MEMBERSHIP, msgspec.msgpack.encode(membership))
         self._track_members()
         return position
 
--- a/harepick/store/raft/messages.py
+++ b/harepick/store/raft/messages.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 
-class Kind(IntEnum):
+class EntryKind(IntEnum):
     """The kind of a log entry."""
 
     NO_OP = 0  # a new leader's first entry, so that it can commit the entries of earlier terms
@@ -27,7 +27,7 @@
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     data: bytes
 
 
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -98,17 +98,17 @@
         settings: StoreSettings,
         counters: Counters,
         log: Log,
-        adopt: Callable[[Revision], None] = lambda revision: None,
-        follow: Callable[[StateMachine], None] = lambda machine: None,
+        on_revision: Callable[[Revision], None] = lambda revision: None,
+        on_state_changed: Callable[[StateMachine], None] = lambda machine: None,
     ) -> None:
-        """`adopt` is called with each new revision of the configuration, `follow` when maintenance orders,
-        shares of limits or verdicts have changed.
+        """`on_revision` is called with each new revision of the configuration, `on_state_changed` when
+        maintenance orders, shares of limits or verdicts have changed.
 
-        `adopt` may raise `SettingsError`: the replica then stops.
+        `on_revision` may raise `SettingsError`: the replica then stops.
         """
         self.settings = settings
-        self._counters, self._log, self._adopt = counters, log, adopt
-        self._follow = follow
+        self._counters, self._log, self._on_revision = counters, log, on_revision
+        self._on_state_changed = on_state_changed
         self._storage = Storage(OsFiles(settings.folder))
         self._inbox: deque[Callable[[], None]] = deque()
         self._inbox_filled = anyio.Event()
@@ -161,8 +161,8 @@
                 recovered.entries,
                 clock(),
                 lease=self.settings.lease,
-                adopt=self._on_adopted,
-                follow=self._on_applied,
+                on_revision=self._on_adopted,
+                on_state_changed=self._on_applied,
             )
         except FormatError as error:
             raise StorageError(f"folder {self.settings.folder}: {error}") from None
@@ -229,7 +229,7 @@
         if not self._writing and not self.node.stopped:
             if self._snapshot_waiters and (snapshot := self.node.take_snapshot()):
                 self._save(snapshot)
-            elif writes := self.node.writes():
+            elif writes := self.node.take_writes():
                 self._start_disk_job(partial(self._write, writes), partial(self._written, writes))
             elif snapshot := self.node.snapshot_due():
                 self._save(snapshot)
@@ -285,14 +285,14 @@
 
     def _on_adopted(self, revision: Revision) -> None:
         try:
-            self._adopt(revision)
+            self._on_revision(revision)
         except SettingsError as error:
             self.node.stop(f"revision {revision.number} can't be read by this version: {error}")
             return
         self.notify()
 
     def _on_applied(self, state_machine: StateMachine) -> None:
-        self._follow(state_machine)
+        self._on_state_changed(state_machine)
         self.notify()
 
     # Inputs
@@ -427,7 +427,7 @@
     def _save(self, snapshot: Snapshot) -> None:
         def done() -> None:
             self._writing = False
-            self.node.compacted(snapshot)
+            self.node.snapshot_durable(snapshot)
             self._log.event("store_snapshot", index=snapshot.index, bytes=len(snapshot.data))
 
         self._start_disk_job(partial(self._storage.save, snapshot), done)
@@ -450,9 +450,9 @@
         """
         node = self.node
         grants = node.grants
-        if node.stopped or node.raft.role is not Role.LEADER or grants.waits_for(0, clock()):
+        if node.stopped or node.raft.role is not Role.LEADER or grants.unconfirmed_by(0, clock()):
             return None
-        return frozenset(grants.holders(clock())), lambda index: grants.waits_for(index, clock())
+        return frozenset(grants.holders(clock())), lambda index: grants.unconfirmed_by(index, clock())
 
     def demands(self) -> dict[str, Mapping[str, float]]:
         """Returns recent demand reports, instance -> limit -> demand; with its own if it leads."""
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -1,8 +1,8 @@
 """One instance of the ENUM service with a replica of the store; serves look-ups as the store configures it.
 
-It is the gate of the ENUM front: look-ups are admitted and attempts are sent only while this instance holds
-its lease, and only to servers of the revision that it adopted. Its pool view is written to the store at a
-bounded rate, and restored from there after a restart.
+It is the `SendPermission` of the ENUM front: look-ups are admitted and attempts are sent only while this
+instance holds its lease, and only to servers of the revision that it adopted. Its pool view is written to
+the store at a bounded rate, and restored from there after a restart.
 """
 
 from __future__ import annotations
@@ -82,7 +82,8 @@
 CONCURRENCY_INTERVAL_S = 0.25  # between two updates of the concurrency limits of servers
 SLOT_REQUEST_INTERVAL_S = 0.05  # between two checks whether slots of gaps have to be requested
 HISTORY_INTERVAL_S = 1.0  # between two checks of the role for the history, if no change is notified
-# Used until a configuration is known; the gate is closed then, so every look-up is refused with a retry time.
+# Used until a configuration is known; there is no send permission then, so every look-up is refused with a
+# retry time.
 PLACEHOLDER_CONFIG = '[[upstream]]\nname = "none"\naddress = "127.0.0.1:9"\ndraining = true\n'
 
 
@@ -117,9 +118,9 @@
         placeholder = replace(read_store_config(PLACEHOLDER_CONFIG, self._instance_keys), upstreams=())
         self.buckets = LimitBuckets()
         self.screen = FleetScreen(self.buckets, clock, self._on_admitted, self._on_gap_passed)
-        self.front = EnumFront(placeholder, counters, log, gate=self, outer=self.screen)
+        self.front = EnumFront(placeholder, counters, log, send_permission=self, fleet_screen=self.screen)
         self.slot_requester = SlotRequester(settings.replica, self._slot_blocks, time.time())
-        self.front.owns = self.slot_requester.owns
+        self.front.owns_slot = self.slot_requester.owns
         self.replica = Replica(settings, counters, log, self._on_adopted, self._on_applied)
         self.maintenance = MaintenanceManager(self.replica, self._maintenance_inputs, counters, log)
         self.limits = LimitManager(
@@ -145,7 +146,7 @@
         """Does nothing but log: the configuration is in the store."""
         self._log.event("reload_ignored", why="the configuration is in the store: harepick config set")
 
-    # Gate of the ENUM front
+    # `SendPermission` of the ENUM front
 
     def closed_for(self) -> float | None:
         """Returns None if a new look-up may start, or the seconds after which to try again."""
--- a/tests/dnspeers.py
+++ b/tests/dnspeers.py
@@ -65,7 +65,7 @@
         for serve in (self._serve_udp, self._serve_tcp):
             threading.Thread(target=serve, daemon=True).start()
 
-    def came(self, transport: str = "udp") -> list[dns.message.Message]:
+    def received(self, transport: str = "udp") -> list[dns.message.Message]:
         """The queries received over that transport."""
         return [query for _, used, query, _ in self.queries if used == transport]
 
@@ -135,7 +135,7 @@
     def send(self, query: dns.message.Message) -> None:
         self.sock.send(query.to_wire())
 
-    def hear(self, timeout: float = 5.0) -> dns.message.Message | None:
+    def receive(self, timeout: float = 5.0) -> dns.message.Message | None:
         """The next answer; None if none arrives within `timeout` seconds."""
         self.sock.settimeout(timeout)
         with suppress(TimeoutError):
@@ -146,7 +146,7 @@
         """Sends a query and returns its answer; fails without one."""
         query = self.query(name, payload, edns)
         self.send(query)
-        answer = self.hear()
+        answer = self.receive()
         assert answer is not None, "no answer"
         assert answer.id == query.id and answer.question == query.question
         return answer
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -247,8 +247,8 @@
     assert report.ok, (
         line,
         [
-            (violation.why, [event.told(report.start) for event in violation.stretch])
-            for violation in report.told
+            (violation.why, [event.as_row(report.start) for event in violation.events])
+            for violation in report.kept_violations
         ],
     )
     timed_events = [(event.mono - report.start, event) for event in report.events]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -597,9 +597,9 @@
         (offer,) = [
             message for message in await harness.messages(Offer) if message.caller.connection is ending
         ]
-        offer.caller.stands(b"answer")
+        offer.caller.established(b"answer")
         assert [m.type for m in await read(first, binary.Decoder())] == [binary.ANSWER]
-        offer.caller.over(cut=False)
+        offer.caller.ended(cut=False)
         ending.scope.cancel()  # as when the connection ends
         received = await read(second, binary.Decoder())
         assert [(m.type, m.call) for m in received] == [(binary.RELEASE, bytes.fromhex(offer.call))]
@@ -612,7 +612,7 @@
         port = await tasks.start(harness.run)
         _sock, ending = await opened(harness, port)
         (offer,) = await harness.messages(Offer)
-        offer.caller.stands(b"answer")
+        offer.caller.established(b"answer")
         ending.scope.cancel()
         await wait_for(lambda: ending not in harness.connections())
         (gone,) = await harness.messages(CallerGone)
@@ -660,7 +660,7 @@
         pool._connections[0].open_attempts.clear()  # answered: the connection is free
         late = attempt("0" * 15 + "2")
         late.send_check = lambda attempt, now: not offer.caller.gone
-        late.placed = time.time() - 0.1
+        late.placed_at = time.time() - 0.1
         sock.close()
         pool.place(late)  # in the same turn
         await wait_for(lambda: offer.caller.gone)
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -67,10 +67,10 @@
 
     # The caller
 
-    def stands(self, description: bytes) -> None:
+    def established(self, description: bytes) -> None:
         self.record_answer("stands")
 
-    def refused(self, stay_away: float) -> None:
+    def refused(self, retry_after: float) -> None:
         self.record_answer("refused")
 
     def failed(self) -> None:
@@ -83,7 +83,7 @@
         if self.now > self.deadline + self.settings.answer_grace + 0.05:
             raise RuleError("a late final answer")
 
-    def over(self, *, cut: bool) -> None:
+    def ended(self, *, cut: bool) -> None:
         self.releases += 1
         if self.finals != ["stands"] or self.releases > 1:
             raise RuleError("a release of a call that does not stand")
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -31,7 +31,7 @@
         assert client.ask().rcode() == dns.rcode.NXDOMAIN
         assert running.counters()["enum.served"] == 2
         assert running.stop() == 0
-        assert len(upstream.came()) == 2
+        assert len(upstream.received()) == 2
 
 
 @pytest.mark.parametrize("mode", ["SERVFAIL", "REFUSED", "silent", "unreachable"])
@@ -42,14 +42,14 @@
     with front.run() as running:
         client = Client(front.port)
         client.warm_up()
-        before, failing.mode = len(healthy.came()), mode
+        before, failing.mode = len(healthy.received()), mode
         if mode == "unreachable":
             failing.close()
         for n in range(8):
             name = f"{n}.{n}.{NUMBER}"  # the last digit of the number selects the preferred upstream
             answer = client.ask(name)
             assert answer.rcode() == dns.rcode.NOERROR, (n, running.text())
-        assert len(healthy.came()) == before + 8
+        assert len(healthy.received()) == before + 8
 
 
 def test_a_look_up_that_nobody_serves_gets_servfail_in_time_with_the_reason() -> None:
@@ -70,10 +70,10 @@
         for name in ("www.lpo.example.", "e164.arpa.", "x.4.9.e164.arpa.", "44.9.e164.arpa."):
             assert client.ask(name).rcode() == dns.rcode.REFUSED
         client.sock.send(client.query().to_wire()[:20])
-        malformed = client.hear()
+        malformed = client.receive()
         assert malformed is not None and malformed.rcode() == dns.rcode.FORMERR
         client.sock.send(b"\0\1\x28\0" + bytes(8))  # opcode UPDATE
-        unsupported = client.hear()
+        unsupported = client.receive()
         assert unsupported is not None and unsupported.rcode() == dns.rcode.NOTIMP
         # These are never answered: two servers would answer each other's replies without end.
         for unanswered in (
@@ -95,11 +95,11 @@
         client = Client(front.port)
         for _ in range(5):
             assert str(client.ask().question[0].name) == NUMBER
-        assert client.hear(0.1) is None
+        assert client.receive(0.1) is None
         assert running.counters()["enum.unmatched"] == 15
         for _ in range(30):
             client.ask()
-        ids, ports = {query.id for query in upstream.came()}, {port for *_, port in upstream.queries}
+        ids, ports = {query.id for query in upstream.received()}, {port for *_, port in upstream.queries}
         assert len(ids) > 30 and len(ports) > 8
 
 
@@ -138,11 +138,11 @@
         for _ in range(4):
             client.send(query)
             time.sleep(0.02)
-        answer = client.hear()
+        answer = client.receive()
         assert answer is not None and answer.id == query.id
-        assert client.hear(0.3) is None
+        assert client.receive(0.3) is None
         assert running.counters()["enum.joined"] == 3
-        assert len(upstream.came()) == 1
+        assert len(upstream.received()) == 1
 
 
 def test_upstreams_are_drained_and_changed_while_running() -> None:
@@ -152,7 +152,7 @@
     with front.run() as running:
         client = Client(front.port)
         client.warm_up()
-        assert old.came() and new.came()
+        assert old.received() and new.received()
         front.write({"u0": (old.port, True), "u1": (new.port, False)})
         running.process.send_signal(signal.SIGHUP)
         reloaded_at = time.time()
@@ -163,7 +163,7 @@
         third = Upstream()
         front.write({"u2": (third.port, False)})
         running.process.send_signal(signal.SIGHUP)
-        peers.until(lambda: client.ask() and third.came(), why="a query at the new upstream")
+        peers.until(lambda: client.ask() and third.received(), why="a query at the new upstream")
         assert running.counters().get("enum.bad_files", 0) == 0
         front.path.write_text('[enum]\nlisten = "nowhere"\n')
         running.process.send_signal(signal.SIGHUP)
@@ -187,7 +187,7 @@
 
         def listen() -> None:
             while not done.is_set():
-                if (answer := client.hear(0.2)) is not None:
+                if (answer := client.receive(0.2)) is not None:
                     answers.append((answer.id, time.time(), answer.rcode()))
 
         listener = threading.Thread(target=listen)
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -18,7 +18,7 @@
     BASE_SHARE,
     MAX_NAMED,
     RESERVE,
-    FleetState,
+    LimitFleetState,
     budgets,
     steps,
     targets,
@@ -36,17 +36,19 @@
 LIVE = frozenset(NAMES)
 
 
-def fleet_state(demand: dict[str, float], live: frozenset[str] = LIVE, settled: bool = True) -> FleetState:
+def fleet_state(
+    demand: dict[str, float], live: frozenset[str] = LIVE, settled: bool = True
+) -> LimitFleetState:
     rows = {name: {"x": d} for name, d in demand.items()}
-    return FleetState("a", 1, live, rows, lambda index: [] if settled else ["b"])
+    return LimitFleetState("a", 1, live, rows, lambda index: [] if settled else ["b"])
 
 
-def decide(shares: Shares, budgets: dict[str, float], observed: FleetState) -> Any:
+def decide(shares: Shares, budgets: dict[str, float], observed: LimitFleetState) -> Any:
     """The first step that is due, or None."""
     return next(iter(steps(shares, budgets, observed)), None)
 
 
-def settle(shares: Shares, observed: FleetState, budget: float = 90.0, max_steps: int = 30) -> list[Any]:
+def settle(shares: Shares, observed: LimitFleetState, budget: float = 90.0, max_steps: int = 30) -> list[Any]:
     steps: list[Any] = []
     while (step := decide(shares, {"x": budget}, observed)) is not None:
         shares.apply(len(steps) + 1, step)
@@ -321,10 +323,10 @@
     def __init__(self) -> None:
         self.wait: float | None = 3.0
 
-    def retry_after(self, called: str, class_name: str, now: float, source: str = "") -> float | None:
+    def retry_after(self, called_number: str, class_name: str, now: float, source: str = "") -> float | None:
         return self.wait
 
-    def ended(self, called: str, good: bool) -> None: ...
+    def record_outcome(self, called_number: str, succeeded: bool) -> None: ...
 
 
 def test_the_screen_returns_the_token_if_a_gap_refuses_and_blocks_callers() -> None:
@@ -407,9 +409,9 @@
 def test_concurrency_shares_are_whole_numbers_and_move_after_calls_have_ended() -> None:
     shares = Shares()
 
-    def observed(demand: dict[str, float], calls_ended: bool) -> FleetState:
+    def observed(demand: dict[str, float], calls_ended: bool) -> LimitFleetState:
         base = fleet_state(demand)
-        return FleetState(
+        return LimitFleetState(
             "a",
             1,
             LIVE,
@@ -459,11 +461,11 @@
     for index, name in enumerate("xyz", 1):
         shares.apply(index, Split(name, 90.0, {"a": 30.0, "b": 30.0, "c": 30.0}, 0, 1))
     rows = {"a": {"x": 10.0, "y": 90.0, "z": 1.0}, "b": {"x": 9.0}, "c": {"x": 10.0, "z": 1.0}}
-    found = steps(shares, dict.fromkeys("xyz", 90.0), FleetState("a", 1, LIVE, rows, lambda index: []))
+    found = steps(shares, dict.fromkeys("xyz", 90.0), LimitFleetState("a", 1, LIVE, rows, lambda index: []))
     assert [step.limit for step in found] == ["y", "z"], "the deviation of x is too small"
     for index, step in enumerate(found, 4):
         shares.apply(index, step)
-    found = steps(shares, dict.fromkeys("xyz", 90.0), FleetState("a", 1, LIVE, rows, lambda index: []))
+    found = steps(shares, dict.fromkeys("xyz", 90.0), LimitFleetState("a", 1, LIVE, rows, lambda index: []))
     assert [type(step) for step in found] == [ReleaseOwed, ReleaseOwed], "owed shares are released first"
 
 
--- a/tests/test_fleet_parts.py
+++ b/tests/test_fleet_parts.py
@@ -279,7 +279,7 @@
     events = sorted([*GOOD_HISTORY, *extra], key=lambda event: event.mono)
     _, counts, violations = run_checks(events, ALL_CHECKS)
     assert counts[check] >= 1
-    assert any(violation.check == check and extra[-1] in violation.stretch for violation in violations)
+    assert any(violation.check == check and extra[-1] in violation.events for violation in violations)
     assert {name for name, count in counts.items() if count} == {check}
 
 
@@ -290,8 +290,8 @@
     events = sorted([*GOOD_HISTORY, act, later], key=lambda event: event.mono)
     _, _, violations = run_checks(events, {"no_stale_act": {}})
     (violation,) = violations
-    assert [e.event for e in violation.stretch] == ["adopted", "acked", "left"]
-    assert violation.stretch[1]["revision"] == 2, "not the first acknowledgement that it missed"
+    assert [e.event for e in violation.events] == ["adopted", "acked", "left"]
+    assert violation.events[1]["revision"] == 2, "not the first acknowledgement that it missed"
 
 
 def test_a_look_up_at_an_instance_that_was_down_is_not_judged() -> None:
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -301,7 +301,10 @@
     cut."""
     report = run_scenario(tmp_path, ONE_WAY_CUT)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     assert line["changes_acked"] >= 5 and line["arrived"] > 50 and line["relay_dropped"] > 0
     assert line["refused"] > 20, "the instance that was cut off refused nothing: the cut had no effect"
     assert not violated(report) and line["arrived"] == line["left"]
@@ -321,9 +324,9 @@
     assert not report.ok and not report.error
     found = violated(report)
     assert found.keys() == {"no_stale_act", "no_stale_arrival"}, found
-    violation = next(v for v in report.told if v.check == "no_stale_act")
-    assert [e.event for e in violation.stretch] == ["adopted", "acked", "left"]
-    assert violation.stretch[-1].name == "c"
+    violation = next(v for v in report.kept_violations if v.check == "no_stale_act")
+    assert [e.event for e in violation.events] == ["adopted", "acked", "left"]
+    assert violation.events[-1].name == "c"
 
 
 # One instance stops receiving right before maintenance of a server is requested; its lease still runs then.
@@ -361,7 +364,10 @@
     maintenance = MaintenanceRounds(BOTH_SERVERS, work=0.5, begin=4.05)
     report = run_scenario(tmp_path, SERVER_OUT_DURING_CUT, maintenance=maintenance)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     assert maintenance.asked == maintenance.done == 2 and line["most_out_at_once"] == 1
     assert line["fresh_calls_to_out_servers"] == line["stale_orders"] == 0 and line["served"] > 100
     order_states = {(e["order"], e["state"]) for e in report.events if e.event == "order"}
@@ -380,7 +386,7 @@
     )
     assert not report.ok and not report.error
     assert violated(report).keys() == {"no_fresh_to_out"}, violated(report)
-    late_events = [v.stretch[-1] for v in report.told if v.stretch[-1].event == "left"]
+    late_events = [v.events[-1] for v in report.kept_violations if v.events[-1].event == "left"]
     (cut,) = {e["link"] for e in report.events if e.event == "link"}
     assert late_events and {f"*>{event.name}" for event in late_events} == {cut}
 
@@ -427,7 +433,10 @@
     maintenance = MaintenanceRounds(MACHINES, work=0.5, begin=1.0)
     report = run_scenario(tmp_path, HANDOVER, maintenance=maintenance)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     assert maintenance.asked == maintenance.done == 4 and line["controllers_taken_out"] == 2
     assert line["handovers"] == 2 and line["lookups_moved"] > 50 and line["plans"] == 3
     # No caller was refused because of a hand-over: what was refused had reached the failed server.
@@ -479,7 +488,10 @@
     """The instance that is cut off must stop using its share before the others get it."""
     report = run_scenario(tmp_path, LIMIT)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch][:3]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events][:3]) for v in report.kept_violations],
+    )
     admitted = [e for e in report.events if e.event == "admitted"]
     before = [e for e in admitted if 1.5 <= e.mono - report.start < 3.5]
     during = [e for e in admitted if 5.0 <= e.mono - report.start < 7.0]
@@ -494,7 +506,7 @@
     report = run_scenario(tmp_path, LIMIT + "[double]\nc = 'stale-lease'\n")
     assert not report.ok and not report.error
     assert violated(report).keys() == {"admissions"}, violated(report)
-    assert {e.name for v in report.told for e in v.stretch} == {"a", "b", "c"}
+    assert {e.name for v in report.kept_violations for e in v.events} == {"a", "b", "c"}
 
 
 # The limit applies to each caller. One caller wants far more, at all instances, and one instance is cut off.
@@ -527,7 +539,7 @@
     """One caller with too many calls must be limited over all instances, without an effect on other
     callers."""
     report = run_scenario(tmp_path, LIMIT_BY_CALLER)
-    assert report.ok, (report.line(), [v.why for v in report.told][:3])
+    assert report.ok, (report.line(), [v.why for v in report.kept_violations][:3])
     admitted = [e for e in report.events if e.event == "admitted" and 3.0 <= e.mono - report.start < 5.0]
     heavy_caller_events = [e for e in admitted if e["limit"] == "desk@127.0.1.1"]
     assert 20 <= len(heavy_caller_events) <= 46, (
@@ -620,7 +632,10 @@
     """Also while an instance is killed and the slots that it owned are allocated anew."""
     report = run_scenario(tmp_path, GAP)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     passed = [e for e in report.events if e.event == "passed"]
     assert {e.name for e in passed} == {"a", "b", "c"} and line["slots_used"] > 12
 
@@ -631,7 +646,7 @@
     report = run_scenario(tmp_path, GAP + "[double]\nb = 'borrow'\n")
     assert not report.ok and not report.error
     assert violated(report).keys() == {"one_pass_a_slot"}, violated(report)
-    assert all("b" in {e.name for e in v.stretch} for v in report.told)
+    assert all("b" in {e.name for e in v.events} for v in report.kept_violations)
 
 
 @pytest.mark.fleet
@@ -678,7 +693,7 @@
     """Neither a shift of the demand nor the end of an instance with calls under way may exceed the limit."""
     report = run_scenario(tmp_path, CONCURRENCY_LIMIT)
     line = report.line()
-    assert report.ok, (line, [v.why for v in report.told][:3])
+    assert report.ok, (line, [v.why for v in report.kept_violations][:3])
     assert line["most_under_way"] == 6, "the limit was never reached"
     # Calls above the limit of s0 go to s1.
     came = [e["server"] for e in report.events if e.event == "arrived"]
@@ -701,7 +716,10 @@
         ScenarioRunner(read_scenario(str(ROOT / "deploy/scenarios/lost-folder.toml")), 1, tmp_path).run
     )
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     (wiped,) = [e.mono for e in report.events if e.event == "process" and e["what"] == "wipe"]
     assert not [e for e in report.events if e.event == "left" and e.name == "c" and e.mono > wiped]
     pause, resume = (
@@ -739,7 +757,7 @@
     assert cut in LIMIT
     slow = 'kind = "link"\nfrom = "*"\nto = "*"\ndelay_ms = 60\njitter_ms = 60\nat = 0.0\nfor_s = 8.0\n'
     report = run_scenario(tmp_path, LIMIT.replace("lease_ms = 600", "lease_ms = 1500").replace(cut, slow))
-    assert report.ok, (report.line(), [v.why for v in report.told][:3])
+    assert report.ok, (report.line(), [v.why for v in report.kept_violations][:3])
     admitted = [e for e in report.events if e.event == "admitted" and 3.0 <= e.mono - report.start < 8.0]
     assert 75 <= len(admitted) <= 168 and {e.name for e in admitted} == {"a", "b", "c"}
 
@@ -798,7 +816,7 @@
 def test_a_server_with_short_failures_does_not_go_out_below_the_floor(tmp_path: Path) -> None:
     """Short failures in sequence must not add up to a failed server, which would be exempt from the floor."""
     report, seen = run_short_failures(tmp_path)
-    assert report.ok, (report.line(), [v.why for v in report.told])
+    assert report.ok, (report.line(), [v.why for v in report.kept_violations])
     assert {row["state"] for row in seen} == {"waiting"} and len(seen) > 10
     assert any("the floor is 2" in row["why"] for row in seen if row["why"])
 
--- a/tests/test_gap_daemons.py
+++ b/tests/test_gap_daemons.py
@@ -160,10 +160,10 @@
     path = cluster.folder / "next.toml"
     path.write_text(text)
     cluster.ask("config", "set", str(path))
-    count_before, deadline = len(south.came()), time.monotonic() + 8.0
-    while len(south.came()) == count_before and time.monotonic() < deadline:
+    count_before, deadline = len(south.received()), time.monotonic() + 8.0
+    while len(south.received()) == count_before and time.monotonic() < deadline:
         client.ask(OTHER)
-    assert len(south.came()) > count_before, "the change did not take effect"
+    assert len(south.received()) > count_before, "the change did not take effect"
     daemon.kill()
     daemon.start()
     until(lambda: served(client, OTHER, 1) == 1, why="a start with a gap that is over")
--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -116,7 +116,7 @@
             any(option.otype == dns.edns.OptionType.EDE for option in answer.options) for answer in refused
         )
         assert client.ask(f"5.{NUMBER}").rcode() == dns.rcode.NOERROR  # another number, longer
-        assert len(upstream.came()) == 2, "refused look-ups must not reach the upstream"
+        assert len(upstream.received()) == 2, "refused look-ups must not reach the upstream"
         front.path.write_text(text_without_gap)
         running.process.send_signal(signal.SIGHUP)
         peers.until(lambda: running.events("gaps")[1:], why="the lift")
--- a/tests/test_limit_daemons.py
+++ b/tests/test_limit_daemons.py
@@ -108,8 +108,8 @@
     client.warm_up(30)
     assert "no server 'west'" in cluster.ask("verdict", "judge", "failed", "west", code=1)
     cluster.ask("verdict", "judge", "failed", "north", "--for", "3", "--why", "disk errors")
-    before = len(north.came())
-    assert count_served(client, LIMITED_NAME, 20) == 20 and len(north.came()) == before
+    before = len(north.received())
+    assert count_served(client, LIMITED_NAME, 20) == 20 and len(north.received()) == before
     assert "disk errors" in cluster.ask("verdict", "list")
     # A verdict on the last server is not applied, so that the fleet keeps serving.
     cluster.ask("verdict", "judge", "overloaded", "south", "--for", "60")
--- a/tests/test_maint_daemons.py
+++ b/tests/test_maint_daemons.py
@@ -40,16 +40,16 @@
         daemon, ops = start_single(cluster)
         client = Client(daemon.dns_port)
         client.warm_up(30)
-        assert len(north.came()) > 0 and len(south.came()) > 0
+        assert len(north.received()) > 0 and len(south.received()) > 0
         assert "no server 'west'" in cluster.ask("maint", "request", "west", code=1)
         assert "order 1: north is waiting" in cluster.ask("maint", "request", "north", "--reason", "disks")
         until(lambda: order_states(cluster) == {"server:north": "out"}, why="north out")
         assert "has north already" in cluster.ask("maint", "request", "server:north", code=1)
         cluster.ask("maint", "request", "south")
-        before = len(north.came())
+        before = len(north.received())
         for n in range(30):
             client.ask(f"{n % 10}.4.3.2.1.1.1.4.9.e164.arpa.")
-        assert len(north.came()) == before, "a look-up was sent to a server that is out"
+        assert len(north.received()) == before, "a look-up was sent to a server that is out"
         assert "max_out is 1" in cluster.ask("maint", "explain", "2")
         status, body = ops_call(ops, "/api/maintenance")
         page = orjson.loads(body)
@@ -66,7 +66,7 @@
         until(lambda: ops_call(ops, "/api/ready")[0] == 200, why="readiness")
         for n in range(10):
             client.ask(f"{n}.4.3.2.1.1.1.4.9.e164.arpa.")
-        assert len(north.came()) == before
+        assert len(north.received()) == before
         assert "order 1 is back" in cluster.ask("maint", "done", "1")
         # South is the last server of its group: its order waits and gives the reason.
         until(
@@ -75,7 +75,9 @@
         assert "only what is out" in cluster.ask("maint", "done", "2", code=1)
         cluster.ask("maint", "cancel", "2")
         assert order_states(cluster) == {}
-        until(lambda: client.ask() is not None and len(north.came()) > before, why="north to be used again")
+        until(
+            lambda: client.ask() is not None and len(north.received()) > before, why="north to be used again"
+        )
         shown = orjson.loads(cluster.ask("maint", "show", "1", "--json"))
         assert [step["state"] for step in shown["steps"]] == ["waiting", "leaving", "out", "back"]
         assert shown["reason"] == "disks"
@@ -146,14 +148,14 @@
         cluster.ask("maint", "done", "1", "--timeout", "1", code=3, at=remaining)
         listing = orjson.loads(cluster.ask(*command, at=remaining))
         assert [(row["machine"], row["state"]) for row in listing["orders"]] == [("server:north", "out")]
-        before = len(north.came())
+        before = len(north.received())
         assert "stay away" in Client(remaining.dns_port).ask().to_text()
         for other in others:
             other.resume()
         until(lambda: cluster.leader(), 15.0, "a leader")
         client = Client(remaining.dns_port)
         until(lambda: client.ask().rcode() == 0, 15.0, "service")
-        assert len(north.came()) == before
+        assert len(north.received()) == before
     finally:
         cluster.end()
         north.close()
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -25,8 +25,8 @@
     SetControllerState,
 )
 from harepick.fleet.maintenance.policy import (
-    FleetState,
     Group,
+    MaintenanceFleetState,
     MaintenanceSettings,
     controller_state_changes,
     decide,
@@ -40,8 +40,10 @@
 NAMES = ("a", "b", "c")
 
 
-def fleet_state(**changes: Any) -> FleetState:
-    base = FleetState("a", 100.0, 1, SERVERS, frozenset(), NAMES, frozenset(NAMES), lambda index: [])
+def fleet_state(**changes: Any) -> MaintenanceFleetState:
+    base = MaintenanceFleetState(
+        "a", 100.0, 1, SERVERS, frozenset(), NAMES, frozenset(NAMES), lambda index: []
+    )
     return replace(base, **changes)
 
 
@@ -60,7 +62,9 @@
         assert order
         return order.id
 
-    def settle(self, policy_settings: MaintenanceSettings, observed: FleetState, max_steps: int = 20) -> None:
+    def settle(
+        self, policy_settings: MaintenanceSettings, observed: MaintenanceFleetState, max_steps: int = 20
+    ) -> None:
         """Applies the commands of the policy until none is due."""
         for _ in range(max_steps):
             step = decide(self.orders, policy_settings, observed)
@@ -378,7 +382,7 @@
         self.avoided: frozenset[str] = frozenset()
         self.live = frozenset(NAMES)
 
-    def observed(self) -> FleetState:
+    def observed(self) -> MaintenanceFleetState:
         return fleet_state(failed=self.failed, avoided=self.avoided - self.failed, live=self.live)
 
     @rule(name=st.sampled_from(sorted(SERVERS)), priority=st.integers(-1, 1))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,8 +24,8 @@
 )
 from harepick.fleet.membership.policy import (
     Add,
-    FleetState,
     Member,
+    MembershipFleetState,
     MembershipSettings,
     Remove,
     decide,
@@ -40,14 +40,14 @@
 SETTINGS = MembershipSettings(drop_after=5.0, keep=3)
 
 
-def fleet_state(members: str = NAMES, **changes: Any) -> FleetState:
+def fleet_state(members: str = NAMES, **changes: Any) -> MembershipFleetState:
     rows = {name: Member(f"at-{name}", True) for name in members}
-    base = FleetState("a", 100.0, True, rows, {}, frozenset(), frozenset())
+    base = MembershipFleetState("a", 100.0, True, rows, {}, frozenset(), frozenset())
     return replace(base, **changes)
 
 
 def steps(
-    absences: AbsenceList, observed: FleetState, policy_settings: MembershipSettings = SETTINGS
+    absences: AbsenceList, observed: MembershipFleetState, policy_settings: MembershipSettings = SETTINGS
 ) -> list[str]:
     """The steps of the policy in sequence, executed as Raft would."""
     executed: list[str] = []
@@ -177,11 +177,13 @@
         self.without_lease: dict[str, float] = {}
         self.in_maintenance: frozenset[str] = frozenset()
 
-    def observed(self) -> FleetState:
+    def observed(self) -> MembershipFleetState:
         up = frozenset(NAMES) - self.without_lease.keys()
         without_lease = {name: span for name, span in self.without_lease.items() if name in self.members}
         rejoining = up - self.members.keys()
-        return FleetState("a", 0.0, True, self.members, without_lease, rejoining, self.in_maintenance)
+        return MembershipFleetState(
+            "a", 0.0, True, self.members, without_lease, rejoining, self.in_maintenance
+        )
 
     @rule(name=st.sampled_from(NAMES[1:]))
     def toggle_alive(self, name: str) -> None:
@@ -234,7 +236,9 @@
     def all_vote_again_once_all_are_alive(self) -> None:
         absences, members = AbsenceList(self.absences.dump()), dict(self.members)
         for _ in range(40):
-            observed = FleetState("a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset())
+            observed = MembershipFleetState(
+                "a", 0.0, True, members, {}, frozenset(NAMES) - members.keys(), frozenset()
+            )
             found = decide(absences, SETTINGS, observed)
             if isinstance(found, SetMemberState):
                 absences.apply(found)
@@ -316,7 +320,10 @@
 ) -> None:
     report, acknowledged_at = run_scenario(tmp_path, LOST_MEMBERS_SCENARIO)
     line = report.line()
-    assert report.ok, (line, [(v.why, [e.told(report.start) for e in v.stretch]) for v in report.told])
+    assert report.ok, (
+        line,
+        [(v.why, [e.as_row(report.start) for e in v.events]) for v in report.kept_violations],
+    )
     assert acknowledged_at, "no change was acknowledged while three of five were lost"
     assert line["fewest_voters"] == 3 and line["voters_at_end"] == 5
 
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -39,7 +39,7 @@
     def served() -> bool:
         client.send(client.query())
         try:
-            answer = client.hear(0.3)
+            answer = client.receive(0.3)
         except ConnectionRefusedError:
             return False
         return answer is not None and answer.rcode() == dns.rcode.NOERROR
@@ -65,7 +65,7 @@
         assert "revision 2" in store.ask("config", "set", write_config(tmp_path, text))
         client = Client(daemon.dns_port)
         assert client.ask("7.6.5.4.3.2.1.1.1.4.9.e164.arpa.").rcode() == dns.rcode.NOERROR
-        assert len(other.came()) == 1, "the route was not taken"
+        assert len(other.received()) == 1, "the route was not taken"
         until(lambda: "south" in store.ask("config", "get"), why="the revision")
         views = until(lambda: daemon.counters().get("store.views"), why="the pool view")
         assert views
@@ -143,7 +143,7 @@
         client = Client(daemon.dns_port)
         old_query = client.query("1.1.e164.arpa.")
         client.send(old_query)  # under the old deadline of 2 s
-        until(lambda: len(upstream.came()) >= 2, why="the query")
+        until(lambda: len(upstream.received()) >= 2, why="the query")
         text = '[enum]\ndeadline_ms = 600\nsuffix = "lpo.example."\n' + config_text(("north", upstream.port))
         store.ask("config", "set", write_config(tmp_path, text))
         until(lambda: daemon.events("new_generation"), why="the new generation")
@@ -153,7 +153,7 @@
         assert answer.rcode() == dns.rcode.SERVFAIL and time.time() - began < 0.7
         assert new_client.ask("1.1.e164.arpa.").rcode() == dns.rcode.REFUSED
         upstream.mode = "serve"
-        old_answer = client.hear()
+        old_answer = client.receive()
         assert old_answer is not None and old_answer.id == old_query.id, (
             "a look-up under way was dropped by the change"
         )
@@ -200,15 +200,15 @@
 
         def refused() -> bool:
             client.send(client.query("5.5.e164.arpa."))
-            answer = client.hear(1.0)
+            answer = client.receive(1.0)
             return answer is not None and "stay away" in answer.to_text()
 
         until(refused, 5.0, "a refusal with a retry time")
-        query_count = len(upstream.came())
+        query_count = len(upstream.received())
         began = time.time()
         answer = client.ask("6.6.e164.arpa.")
         assert answer.rcode() == dns.rcode.SERVFAIL and time.time() - began < 0.2
-        assert len(upstream.came()) == query_count
+        assert len(upstream.received()) == query_count
         assert isolated.counters()["answers.not_current"] > 0
         assert "no leader" in store.ask("store", "status", "--timeout", "1", code=3, at=isolated)
         for other in others:
@@ -241,7 +241,7 @@
         client = Client(send_only.dns_port)
         for number in range(20):
             client.send(client.query(f"{number % 10}.5.e164.arpa."))
-            client.hear(0.3)
+            client.receive(0.3)
         # It may not know the new revision yet, but must not act on the old one.
         assert not [sent_at for sent_at, *_ in upstream.queries if sent_at > acknowledged]
         for daemon in rest:
@@ -328,7 +328,7 @@
 
         def refused() -> bool:
             client.send(client.query("5.5.e164.arpa."))
-            answer = client.hear(1.0)
+            answer = client.receive(1.0)
             return answer is not None and answer.rcode() == dns.rcode.SERVFAIL
 
         until(refused, 5.0, "refusals by the removed replica")
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -14,7 +14,7 @@
 from harepick.store.disk import frames
 from harepick.store.disk.files import LockedError, OsFiles, StorageError
 from harepick.store.disk.storage import Identity, Storage, create
-from harepick.store.raft.messages import Entry, HardState, Kind, Member, Membership, Snapshot
+from harepick.store.raft.messages import Entry, EntryKind, HardState, Member, Membership, Snapshot
 
 MEMBERS = Membership((Member("a", "127.0.0.1:1"),))
 IDENTITY = Identity("lpo", "a", "f0")
@@ -28,7 +28,7 @@
 
 def make_entries(first: int, last: int, term: int) -> tuple[Entry, ...]:
     return tuple(
-        Entry(index, term, Kind.COMMAND, b"%d of %d" % (index, term)) for index in range(first, last + 1)
+        Entry(index, term, EntryKind.COMMAND, b"%d of %d" % (index, term)) for index in range(first, last + 1)
     )
 
 
@@ -269,7 +269,7 @@
     files = new_folder()
     storage = Storage(files)
     storage.open()
-    storage.write(None, (Entry(1, 1, Kind.COMMAND, forged * 3),), None)
+    storage.write(None, (Entry(1, 1, EntryKind.COMMAND, forged * 3),), None)
     assert not frames.next_valid_frame(frames.checksum(b"f0"), forged, -1)
     storage.close()
 
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -103,7 +103,7 @@
     def _start(self, host: Host) -> None:
         super()._start(host)
         if host.node:
-            host.node.grants.waits_for = lambda index, now: []  # type: ignore[method-assign]
+            host.node.grants.unconfirmed_by = lambda index, now: []  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -19,7 +19,7 @@
 from harepick.store.leases import CLOCK_RATE_MARGIN, Grants, Lease
 from harepick.store.node import Node
 from harepick.store.raft.core import BusyError, Raft
-from harepick.store.raft.messages import Entry, HardState, Kind, Member, Membership, Snapshot
+from harepick.store.raft.messages import Entry, EntryKind, HardState, Member, Membership, Snapshot
 
 EXAMPLES = settings(max_examples=80, deadline=None, derandomize=True)
 SINGLE_REPLICA = Membership((Member("a", "127.0.0.1:1"),))
@@ -67,19 +67,19 @@
         with pytest.raises(m.FormatError):
             machine.restore(data)
     entries = [
-        Entry(1, 1, Kind.COMMAND, m.encode(m.Envelope("", 0, m.Put("old")))),
-        Entry(2, 1, Kind.COMMAND, b"\x09later"),
-        Entry(3, 1, Kind.COMMAND, m.encode(m.Envelope("", 0, m.Put("never")))),
+        Entry(1, 1, EntryKind.COMMAND, m.encode(m.Envelope("", 0, m.Put("old")))),
+        Entry(2, 1, EntryKind.COMMAND, b"\x09later"),
+        Entry(3, 1, EntryKind.COMMAND, m.encode(m.Envelope("", 0, m.Put("never")))),
     ]
     node = Node("a", Random(1), HardState(1, "a"), Snapshot(0, 0, SINGLE_REPLICA), entries, 0.0)
     for n in range(50):
         node.tick(n * 0.02)
-        if writes := node.writes():
+        if writes := node.take_writes():
             node.written(writes, n * 0.02)
         node.poll(n * 0.02)
     assert "entry 2" in node.stopped and "format 9" in node.stopped
     assert node.revision and node.revision.text == "old" and not node.may_act(1.0)
-    assert not node.writes() and not node.poll(1.0).outbox
+    assert not node.take_writes() and not node.poll(1.0).outbox
 
 
 def test_a_revision_that_this_version_cannot_read_stops_the_replica() -> None:
@@ -89,13 +89,13 @@
     def adopt(revision: m.Revision) -> None:
         node.stop(f"revision {revision.number}")
 
-    node._adopt = adopt
+    node._on_revision = adopt
     answers: list[tuple[object, object]] = []
     for n in range(60):
         node.tick(n * 0.02)
         if n == 20:
             node.change(m.Envelope("", 0, m.Put("new words")), "asker")
-        if writes := node.writes():
+        if writes := node.take_writes():
             node.written(writes, n * 0.02)
         answers += node.poll(n * 0.02).answers
     assert node.stopped == "revision 1" and not node.may_act(1.2)
@@ -105,7 +105,7 @@
 def test_pending_bytes_are_bounded() -> None:
     raft = Raft("a", Random(1), HardState(), Snapshot(0, 0, SINGLE_REPLICA))
     raft.tick()
-    raft.written(raft.writes())
+    raft.written(raft.take_writes())
     with pytest.raises(BusyError, match="bytes"):
         for _ in range(1000):
             raft.propose(bytes(1 << 20))
@@ -213,7 +213,7 @@
         else:
             adopted[n] = 5
             grants.record_adopted(f"{n}", 5)
-        if not grants.waits_for(5, now):
+        if not grants.unconfirmed_by(5, now):
             assert now >= length * CLOCK_RATE_MARGIN
             for k in range(3):
                 assert adopted[k] == 5 or not leases[k].holds(now * rates[k])
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -11,9 +11,9 @@
     AppendEntries,
     AppendEntriesReply,
     Entry,
+    EntryKind,
     HardState,
     InstallSnapshot,
-    Kind,
     Member,
     Membership,
     Message,
@@ -46,7 +46,7 @@
                 if name in self.down:
                     continue
                 raft.flush()
-                while writes := raft.writes():
+                while writes := raft.take_writes():
                     raft.written(writes)
                 raft.committed()
                 messages, raft.outbox = raft.outbox, []
@@ -100,13 +100,13 @@
     """Figure 8 of the Raft paper: a quorum has an entry of an old term, and none of the leader's own term."""
     names = ("a", "b", "c", "d", "e")
     membership = Membership(tuple(Member(n, f"127.0.0.1:{k + 1}") for k, n in enumerate(names)))
-    old = [Entry(1, 1, Kind.NO_OP, b""), Entry(2, 2, Kind.COMMAND, b"old")]
+    old = [Entry(1, 1, EntryKind.NO_OP, b""), Entry(2, 2, EntryKind.COMMAND, b"old")]
     leader = raft("a", Random(1), HardState(3, ""), Snapshot(0, 0, membership), old)
     while leader.role is Role.FOLLOWER:
         leader.tick()
     for name in ("b", "c"):
         leader.step(name, PreVoteReply(4, True))
-    leader.written(leader.writes())
+    leader.written(leader.take_writes())
     for name in ("b", "c"):
         leader.step(name, RequestVoteReply(4, True))
     assert leader.role is Role.LEADER and leader.term == 4
@@ -119,7 +119,7 @@
     """Such an entry may still be overwritten; it is committed together with one of the leader's own term."""
     leader = _figure_8(Raft)
     assert leader.commit == 0
-    leader.written(leader.writes())
+    leader.written(leader.take_writes())
     for name in ("b", "c"):
         leader.step(name, AppendEntriesReply(4, True, 3, 0))
     assert leader.commit == 3
@@ -131,13 +131,13 @@
     voter = cluster["a"]
     voter.step("b", RequestVote(5, 0, 0))
     assert not voter.outbox, "a vote was sent before it was durable"
-    writes = voter.writes()
+    writes = voter.take_writes()
     assert writes.hard_state == HardState(5, "b")
     voter.written(writes)
     assert voter.outbox == [("b", RequestVoteReply(5, True))]
     voter.outbox.clear()
     voter.step("c", RequestVote(5, 9, 4))
-    voter.written(voter.writes())
+    voter.written(voter.take_writes())
     assert voter.outbox == [("c", RequestVoteReply(5, False))]
 
 
@@ -247,7 +247,7 @@
             cluster.settle(3)
     cluster.settle()
     # c has further entries that no other replica has.
-    tail = [Entry(n, 1, Kind.COMMAND, b"own") for n in range(cluster["c"].log.last_index + 1, 200)]
+    tail = [Entry(n, 1, EntryKind.COMMAND, b"own") for n in range(cluster["c"].log.last_index + 1, 200)]
     cluster["c"].log.append(tail)
     cluster.down = set()
     cluster.sent.clear()
@@ -278,8 +278,8 @@
 
 def _compacted(cluster: Cluster, leader: Raft, data: bytes) -> None:
     """Takes a snapshot with this data, and drops all entries that it covers."""
-    snapshot = leader.compact(leader.applied, data)
-    leader.compacted(snapshot)
+    snapshot = leader.make_snapshot(leader.applied, data)
+    leader.snapshot_durable(snapshot)
     leader.log.compact(snapshot.index)
 
 
@@ -307,7 +307,7 @@
                 if len(offsets) == 3:
                     continue  # lost
             follower.step("a", message)
-        writes = follower.writes()
+        writes = follower.take_writes()
         follower.written(writes)
         replies, follower.outbox = follower.outbox, []
         for _, reply in replies:
@@ -437,13 +437,13 @@
     raft = cluster["a"]
     for _ in range(40):
         raft.tick()
-    writes: Writes = raft.writes()
+    writes: Writes = raft.take_writes()
     assert writes.hard_state and raft.role is Role.CANDIDATE, "it leads before its own vote is durable"
     raft.written(writes)
     raft.propose(b"x")
-    first = raft.writes()
+    first = raft.take_writes()
     raft.propose(b"y")
-    second = raft.writes()
+    second = raft.take_writes()
     assert [e.index for e in first.entries + second.entries] == [1, 2, 3]
     assert raft.commit == 0
     raft.written(first)
