--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -107,7 +107,7 @@
             raise SettingsError(f"setting {path} is missing")
         return default
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value < float("inf"):
-        raise SettingsError(f"setting {path} makes no sense: {value!r}")
+        raise SettingsError(f"setting {path} is not a number in the allowed range: {value!r}")
     return float(value)
 
 
@@ -122,7 +122,7 @@
     if value is None:
         return {}
     if not isinstance(value, Mapping):
-        raise SettingsError(f"setting {key} makes no sense: {value!r}")
+        raise SettingsError(f"setting {key} is not a table: {value!r}")
     return value
 
 
@@ -132,7 +132,7 @@
     if value is None:
         raise SettingsError(f"setting {key} is missing")
     if not isinstance(value, str) or not value:
-        raise SettingsError(f"setting {key} makes no sense: {value!r}")
+        raise SettingsError(f"setting {key} is not a non-empty string: {value!r}")
     return value
 
 
@@ -160,7 +160,7 @@
         raise SettingsError("setting Classes is missing")
     pools = _read_table(options, "Extra").get("AllowedPools") or []
     if not isinstance(pools, list):
-        raise SettingsError(f"setting Extra.AllowedPools makes no sense: {pools!r}")
+        raise SettingsError(f"setting Extra.AllowedPools is not a list: {pools!r}")
     classes: list[interface.CallClass] = []
     for index, row in enumerate(rows):
         if not isinstance(row, Mapping) or not isinstance(row.get("Name"), str):
@@ -169,7 +169,9 @@
             raise SettingsError(f"setting Classes[{index}].Name is used twice: {row['Name']!r}")
         allowed = pools[index] if index < len(pools) else None
         if allowed is not None and not (isinstance(allowed, list) and all(map(_is_integer, allowed))):
-            raise SettingsError(f"setting Extra.AllowedPools[{index}] makes no sense: {allowed!r}")
+            raise SettingsError(
+                f"setting Extra.AllowedPools[{index}] is not a list of whole numbers: {allowed!r}"
+            )
         try:
             classes.append(
                 interface.CallClass(
@@ -192,18 +194,18 @@
     """Translates the simulator's `Options` into the controller's settings; raises `SettingsError` naming
     the key."""
     if not isinstance(options, Mapping):
-        raise SettingsError("setting Options makes no sense")
+        raise SettingsError("setting Options is not a table")
     bounds, extra = _read_table(options, "Bounds"), _read_table(options, "Extra")
     tenants = []
     projects = options.get("Projects") or []
     if not isinstance(projects, list) or not all(isinstance(row, Mapping) for row in projects):
-        raise SettingsError(f"setting Projects makes no sense: {projects!r}")
+        raise SettingsError(f"setting Projects is not a list of tables: {projects!r}")
     own_number = extra.get("SelfNo")
     if own_number is not None and not _is_integer(own_number):
-        raise SettingsError(f"setting Extra.SelfNo makes no sense: {own_number!r}")
+        raise SettingsError(f"setting Extra.SelfNo is not a whole number: {own_number!r}")
     fields = _read_table(options, "Report").get("Fields") or []
     if not isinstance(fields, list):
-        raise SettingsError(f"setting Report.Fields makes no sense: {fields!r}")
+        raise SettingsError(f"setting Report.Fields is not a list: {fields!r}")
     for row in projects:
         allowance, share = _read_number(row, "AllowancePerS", 0.0, 0.0), _read_number(row, "Share", 0.0, 0.0)
         tenants.append(interface.Tenant(str(row.get("Name")), allowance, share))
@@ -287,7 +289,7 @@
     except SettingsError:
         raise
     except (TypeError, AttributeError, ValueError, OverflowError, KeyError) as error:
-        raise SettingsError(f"setting settings makes no sense: {error}") from None
+        raise SettingsError(f"setting settings is malformed: {error}") from None
 
 
 def _read_gaps(rows: Any, where: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
@@ -395,7 +397,7 @@
             raise SettingsError(f"setting {section} is not known")
         for row in value if isinstance(value, list) else [value]:
             if not isinstance(row, Mapping):
-                raise SettingsError(f"setting {section} makes no sense: {row!r}")
+                raise SettingsError(f"setting {section} is not a table: {row!r}")
             for key in sorted(row.keys() - KNOWN_KEYS[section]):
                 raise SettingsError(f"setting {section}.{key} is not known")
     front = _read_table(table, "enum")
@@ -520,7 +522,7 @@
             where = parse_address(_read_text(row, "address"), "address")
             draining = row.get("draining", False)
             if not isinstance(draining, bool):
-                raise SettingsError(f"setting draining makes no sense: {draining!r}")
+                raise SettingsError(f"setting draining is not true or false: {draining!r}")
             upstream = Upstream(_read_text(row, "name"), where, draining)
             if any(other.name == upstream.name for other in upstreams):
                 raise SettingsError(f"setting name is used twice: {upstream.name!r}")
@@ -533,7 +535,7 @@
 def _read_routes(rows: Any, known: set[str]) -> tuple[Route, ...]:
     """Reads `[[route]]`; the error names the row and the key."""
     if not isinstance(rows, list):
-        raise SettingsError(f"setting route makes no sense: {rows!r}")
+        raise SettingsError(f"setting route is not a list: {rows!r}")
     if len(rows) > MAX_ROUTES:
         raise SettingsError(f"setting route has over {MAX_ROUTES} rows")
     routes: dict[str, Route] = {}
@@ -544,7 +546,7 @@
         if prefix in routes:
             raise SettingsError(f"setting route[{index}].prefix is used twice: {prefix!r}")
         if not isinstance(upstreams, list) or not upstreams:
-            raise SettingsError(f"setting route[{index}].upstreams makes no sense: {upstreams!r}")
+            raise SettingsError(f"setting route[{index}].upstreams is not a non-empty list: {upstreams!r}")
         for name in upstreams:
             if name not in known:
                 raise SettingsError(f"setting route[{index}].upstreams names an unknown upstream: {name!r}")
