--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -166,7 +166,7 @@
     pinger = Pinger()
     scenario = make_scenario(table(options.instances, options.seconds), "fleet_rig")
     with tempfile.TemporaryDirectory() as folder:
-        runner = ScenarioRunner(scenario, options.seed, Path(folder), beside=pinger.run_beside)
+        runner = ScenarioRunner(scenario, options.seed, Path(folder), concurrent_task=pinger.run_beside)
         report = anyio.run(runner.run)
     for violation in report.kept_violations:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
--- a/benchmarks/gap_model.py
+++ b/benchmarks/gap_model.py
@@ -54,7 +54,9 @@
 
     def _owns_requested(self, gap: str, slot: int) -> bool:
         """Broken on purpose: requested slots count as owned before the log has granted them."""
-        requested = any(request.first <= slot < request.first + request.most for request in self.requests)
+        requested = any(
+            request.first <= slot < request.first + request.max_slots for request in self.requests
+        )
         return requested or self.slots.owns(gap, slot)
 
 
@@ -104,7 +106,7 @@
             if process.screen.retry_after(CALLED_NUMBER, "", wall) is None:
                 self._record_pass(floor(wall / self.interval), instance.name)
         if leader := self.true_leader:
-            for request in process.slots.due_requests(wall, process.screen.uses()):
+            for request in process.slots.due_requests(wall, process.screen.usage()):
                 process.requests.append(request)
                 self.send(instance.name, leader, partial(self.propose, leader, request))
 
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -220,7 +220,7 @@
     with tempfile.TemporaryDirectory() as temporary_folder:
         folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=issue_verdicts).run)
+        report = anyio.run(ScenarioRunner(scenario, options.seed, folder, concurrent_task=issue_verdicts).run)
     for violation in report.kept_violations[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
     result = statistics(report)
--- a/benchmarks/maint_fleet.py
+++ b/benchmarks/maint_fleet.py
@@ -100,7 +100,9 @@
     with tempfile.TemporaryDirectory() as temporary_folder:
         folder = Path(options.keep or temporary_folder)
         folder.mkdir(parents=True, exist_ok=True)
-        report = anyio.run(ScenarioRunner(scenario, options.seed, folder, beside=maintenance.run).run)
+        report = anyio.run(
+            ScenarioRunner(scenario, options.seed, folder, concurrent_task=maintenance.run).run
+        )
     for violation in report.kept_violations:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
         for event in violation.events[:5]:
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -91,7 +91,7 @@
 
     def on_applied(self, instance: Instance[Orders]) -> None:
         process = self._process(instance)
-        own_order = instance.state.of(CONTROLLER, instance.name)
+        own_order = instance.state.open_order(CONTROLLER, instance.name)
         process.handover.follow(own_order, instance.clock(self.now), self.handover_s, process.served)
 
     def _process(self, instance: Instance[Orders]) -> Process:
@@ -153,13 +153,13 @@
             self._check_remaining(instance.state, step)
         self.fenced += isinstance(step, AdvanceOrder) and step.to == "out" and bool(step.gone)
         self.propose(instance.name, step)
-        own_order = instance.state.of(CONTROLLER, instance.name)
+        own_order = instance.state.open_order(CONTROLLER, instance.name)
         if own_order and own_order.state != "waiting" and instance.name == self.true_leader:
             self.elect()  # a leader that is to go out hands its leadership over
 
     def tick(self, instance: Instance[Orders]) -> None:
         """Reports to the leader that a controller that is to go out is idle."""
-        own_order, leader = instance.state.of(CONTROLLER, instance.name), self.true_leader
+        own_order, leader = instance.state.open_order(CONTROLLER, instance.name), self.true_leader
         process, clock = self._process(instance), instance.clock(self.now)
         process.calls = [end for end in process.calls if end > clock]
         idle = not process.calls and process.handover.stage(clock) == CLOSED
@@ -192,10 +192,10 @@
             raise Violation(f"{self.now:.3f}: {instance.name} has no server to send to")
         server = self.rng.choice(open_to)
         self.acts += 1
-        if (order := self.committed_state.of(SERVER, server)) and order.state == "out":
+        if (order := self.committed_state.open_order(SERVER, server)) and order.state == "out":
             act = f"{instance.name} sent to {server} on version {instance.state.version}"
             raise Violation(f"{self.now:.3f}: {act}, out since version {order.version}")
-        if (order := self.committed_state.of(CONTROLLER, instance.name)) and order.state == "out":
+        if (order := self.committed_state.open_order(CONTROLLER, instance.name)) and order.state == "out":
             raise Violation(f"{self.now:.3f}: {instance.name} is out, and sent to {server}")
 
     def inject_own_fault(self) -> None:
--- a/harepick/cli/gap.py
+++ b/harepick/cli/gap.py
@@ -61,7 +61,7 @@
     """
     screen, now = GapScreen(zone), time.time()
     try:
-        screen.apply([row for row in rows if file or not row.over(now)], now)
+        screen.apply([row for row in rows if file or not row.has_ended(now)], now)
     except GapError as error:
         store.fail(f"{file}: {error}" if file else str(error), "invalid")
     return screen
@@ -98,7 +98,7 @@
     row = next((row for row in _gap_rows(None, store) if row.id == name), None)
     if row is None:
         store.fail(f"no gap {name} is set", "refused")
-    fields = _gap_fields(row) | {"over": row.over(time.time())}
+    fields = _gap_fields(row) | {"over": row.has_ended(time.time())}
     store.print_result(fields, "\n".join(f"{key:<12} {value}" for key, value in fields.items()))
 
 
@@ -174,7 +174,7 @@
     except SettingsError as error:
         fail(f"{error}; nothing was changed", USAGE)
     _build_screen(rows, None, "", store)
-    if any(row.id == name and row.over(time.time()) for row in rows):
+    if any(row.id == name and row.has_ended(time.time()) for row in rows):
         fail(f"the time of gap {name} is over: give --for or --until; nothing was changed", USAGE)
     if dry_run:
         click.echo(text, nl=False)
--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -103,7 +103,7 @@
         return self._calls.pending()
 
     @property
-    def members(self) -> int:
+    def listed_server_count(self) -> int:
         """Servers in the list that are not gone."""
         return len(self._start_times)
 
--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -31,7 +31,7 @@
 LENGTH_PREFIX = struct.Struct(">H")  # before each message over TCP (RFC 1035)
 SEND_TIMEOUT_S = 2.0
 UDP_RECEIVE_BUFFER_BYTES = 1 << 20  # holds the queries that arrive while the core is busy
-OUTCOME_NAMES = {"served": "completed", "refused": "rejected", "failed": "failed"}  # in the counters by lane
+OUTCOME_NAMES = {"served": "completed", "refused": "rejected", "failed": "failed"}  # by class
 ANSWER_MARGIN_S = 0.2  # the core's deadline is this long before the client's, so that the answer is in time
 Key = tuple[object, int, codec.Question]
 Write = Callable[[bytes], None]
@@ -54,7 +54,7 @@
 class Lookup:
     """One look-up in progress; the core's `Caller`."""
 
-    __slots__ = ("_client", "_key", "_listener", "call", "gone", "inbox", "lane", "query")
+    __slots__ = ("_client", "_key", "_listener", "call", "class_name", "gone", "inbox", "query")
 
     def __init__(
         self,
@@ -64,10 +64,10 @@
         key: Key,
         query: codec.Query,
         client: Client,
-        lane: str,
+        class_name: str,
     ) -> None:
         self._listener, self.inbox, self.call, self._key = listener, inbox, call, key
-        self.query, self._client, self.lane = query, client, lane
+        self.query, self._client, self.class_name = query, client, class_name
         self.gone = False
 
     def established(self, description: bytes) -> None:
@@ -108,7 +108,7 @@
     def _finish(self, data: bytes, outcome: str) -> None:
         if self._listener.close_lookup(self._key):
             self._listener.counters.add(f"enum.{outcome}")
-            self._listener.counters.answered(self.lane, OUTCOME_NAMES[outcome])
+            self._listener.counters.answered(self.class_name, OUTCOME_NAMES[outcome])
             self._client.write(data)
 
 
--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -154,7 +154,7 @@
         now, rows = time.time(), config.gaps
         # In a configuration of the store, gaps that are over must not block a later change or a start.
         if self._path is None:
-            rows = tuple(row for row in rows if not row.over(now))
+            rows = tuple(row for row in rows if not row.has_ended(now))
         try:
             changes = screen.apply(rows, now, [config.call_class])
         except GapError as error:
@@ -205,9 +205,9 @@
         return sum(generation.engine.pending for generation in self._generations)
 
     @property
-    def members(self) -> int:
+    def listed_server_count(self) -> int:
         """The number of servers that the latest core knows."""
-        return self._generations[-1].engine.members if self._generations else 0
+        return self._generations[-1].engine.listed_server_count if self._generations else 0
 
     @property
     def avoided(self) -> frozenset[str]:
--- a/harepick/fleet/faults.py
+++ b/harepick/fleet/faults.py
@@ -29,7 +29,7 @@
     cut_at: int | None = None  # bytes of each connection after which it breaks
     rate: float = 0.0  # bytes a second; 0: unlimited
 
-    def over(self, other: Fault) -> Fault:
+    def overlaid_on(self, other: Fault) -> Fault:
         """Combines two faults; where both set a value, this one's is used."""
         named = {f.name: v for f in fields(self) if (v := getattr(self, f.name)) != f.default}
         return replace(other, **named)
@@ -77,7 +77,7 @@
         # From the least to the most specific link: where two faults set a value, the later one is used.
         for link in (exact,) if TOOL in exact else ((ANY, ANY), (ANY, receiver), (sender, ANY), exact):
             if fault := self._faults.get(link):
-                combined = fault.over(combined)
+                combined = fault.overlaid_on(combined)
         return replace(combined, drop=True) if self._partitioned(sender, receiver) else combined
 
     def _partitioned(self, sender: str, receiver: str) -> bool:
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -98,7 +98,7 @@
         fleet_state = LimitFleetState(
             name=self._name,
             revision=inputs.revision,
-            live=live & members - state_machine.orders.given_up(),
+            live=live & members - state_machine.orders.inactive_controllers(),
             demands=self._replica.demands(),
             unconfirmed_by=unconfirmed_by,
             concurrency_limits=frozenset(limit.id for limit in inputs.limits if limit.server),
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -117,7 +117,7 @@
             self._log.event("maint_seat", controller=step.instance, state=step.state)
 
     async def _advance_own_order(self) -> None:
-        order = self.orders.of(CONTROLLER, self._name)
+        order = self.orders.open_order(CONTROLLER, self._name)
         if order is None or order.state == "waiting":
             return
         inputs = self._inputs()
--- a/harepick/fleet/maintenance/orders.py
+++ b/harepick/fleet/maintenance/orders.py
@@ -164,7 +164,7 @@
             order.machine for order in self._open.values() if order.kind == kind and order.state != "waiting"
         )
 
-    def given_up(self) -> frozenset[str]:
+    def inactive_controllers(self) -> frozenset[str]:
         """Controllers that take no calls any more: out, or leaving and idle."""
         return frozenset(
             order.machine
@@ -172,7 +172,7 @@
             if order.kind == CONTROLLER and (order.state == "out" or order.idle)
         )
 
-    def of(self, kind: str, machine: str) -> Order | None:
+    def open_order(self, kind: str, machine: str) -> Order | None:
         """The open order of a machine."""
         return next(
             (order for order in self._open.values() if (order.kind, order.machine) == (kind, machine)), None
@@ -216,7 +216,7 @@
     def _request(self, index: int, request: RequestMaintenance) -> Order:
         if request.kind not in (SERVER, CONTROLLER):
             raise RefusedOrderError(f"no kind of machine: {request.kind!r}")
-        if current := self.of(request.kind, request.machine):
+        if current := self.open_order(request.kind, request.machine):
             raise RefusedOrderError(
                 f"order {current.id} has {request.machine} already, and is {current.state}"
             )
--- a/harepick/fleet/maintenance_rounds.py
+++ b/harepick/fleet/maintenance_rounds.py
@@ -22,7 +22,10 @@
 
 @dataclass
 class MaintenanceRounds:
-    """Rounds of maintenance; counts orders `asked` and `done`. `run` is a `beside` of `ScenarioRunner`."""
+    """Rounds of maintenance; counts orders `asked` and `done`.
+
+    `run` is a `concurrent_task` of `ScenarioRunner`.
+    """
 
     machines: Sequence[str]  # `server:s0`, `controller:a`
     work: float = 1.0  # seconds of work on each machine
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -86,16 +86,17 @@
         seed: int,
         folder: Path,
         seconds: float | None = None,
-        say: Callable[[str], None] = lambda text: None,
-        beside: Callable[[ScenarioRunner], Coroutine[Any, Any, None]] | None = None,
+        report_progress: Callable[[str], None] = lambda text: None,
+        concurrent_task: Callable[[ScenarioRunner], Coroutine[Any, Any, None]] | None = None,
     ) -> None:
-        """`seconds` overrides the scenario's duration; `say` is given progress messages. `beside` is a
-        concurrent task of a benchmark or test: started once the fleet serves, awaited after the faults."""
+        """`seconds` overrides the scenario's duration; `report_progress` is given progress messages.
+        `concurrent_task` belongs to a benchmark or test: started once the fleet serves, awaited after the
+        faults."""
         self.scenario, self.seed, self.folder = scenario, seed, folder
         self.seconds = scenario.seconds if seconds is None else seconds
         self.timeline = scenario.timeline(seed, self.seconds)
-        self._say = say
-        self._concurrent_task = beside
+        self._report_progress = report_progress
+        self._concurrent_task = concurrent_task
         self._rng = Random(seed + 1)  # another sequence than that of the timeline
         self.network = Network()
         self.relay = Relay(self.network, seed)
@@ -146,7 +147,7 @@
         await self._wait_until_all_serve("the start")
         self._started_at = time.monotonic()
         self.history.note("began_play", scenario=self.scenario.name, seed=self.seed)
-        self._say(f"{len(self.instances)} instances serve")
+        self._report_progress(f"{len(self.instances)} instances serve")
         readiness = None
         if self.scenario.load.follow:
             readiness = Readiness({n: i.ops_port for n, i in self.instances.items()}, self.history)
@@ -286,7 +287,7 @@
 
     def _apply_step(self, step: Step) -> None:
         """Starts a step. Actions on one instance run one after another, all others concurrently."""
-        self._say(f"{step.at:8.3f} s  {_describe(step)}")
+        self._report_progress(f"{step.at:8.3f} s  {_describe(step)}")
         match step.what:
             case "partition":
                 groups = self._groups(step.groups)
--- a/harepick/gapping/config.py
+++ b/harepick/gapping/config.py
@@ -58,7 +58,7 @@
     owner: str = ""
     plan: str = "e164"
 
-    def over(self, now: float) -> bool:
+    def has_ended(self, now: float) -> bool:
         """Whether the gap has ended at `now` (Unix seconds).
 
         A row without `since` counts as active before `until`: only the screen knows when it took effect.
--- a/harepick/gapping/screen.py
+++ b/harepick/gapping/screen.py
@@ -98,7 +98,7 @@
         """The gaps that apply to such a call, most specific first; counts nothing."""
         return [gap for gap, _ in self._gaps.explain(Call(called_number, class_name, self._zone), now)]
 
-    def uses(self) -> list[tuple[str, float, int]]:
+    def usage(self) -> list[tuple[str, float, int]]:
         """For each gap: its id, interval in seconds, and calls offered so far."""
         counts = self._gaps.counts()
         return [
--- a/harepick/gapping/slot_allocation.py
+++ b/harepick/gapping/slot_allocation.py
@@ -27,7 +27,7 @@
     gap: str
     first: int
     demand: float
-    most: int = MAX_BLOCK  # upper bound of the slots in the block
+    max_slots: int = MAX_BLOCK  # upper bound of the slots in the block
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
             state.demand.popitem(last=False)
         total = sum(state.demand.values())
         share = state.demand[request.instance] / total if total > 0 else 1.0 / len(state.demand)
-        max_length = max(1, min(MAX_BLOCK, request.most))
+        max_length = max(1, min(MAX_BLOCK, request.max_slots))
         length = max(1, round(share * max_length))
         first = max(state.cursor, request.first)
         state.cursor = first + length
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -44,24 +44,26 @@
     callers: Callers
     connection: CallerConnection
     call: bytes
-    lane: str  # name of the call class, for the counters
+    class_name: str  # name of the call class, for the counters
     gone: bool = False
 
     def established(self, description: bytes) -> None:
         """Sends the answer: the call stands."""
         message = CallerMessage(self.call, binary.encode_answer(self.call, description), "answer")
-        self.callers.write(self.connection, message, self.lane, "completed")
+        self.callers.write(self.connection, message, self.class_name, "completed")
 
     def refused(self, retry_after: float) -> None:
         """Sends a refusal, with the time after which to retry, in seconds, if positive."""
         retry_after_ms = round(retry_after * 1000) if retry_after > 0 else None
         encoded = binary.encode_release(self.call, CAUSE_CONGESTION, retry_after_ms)
-        self.callers.write(self.connection, CallerMessage(self.call, encoded, "final"), self.lane, "rejected")
+        self.callers.write(
+            self.connection, CallerMessage(self.call, encoded, "final"), self.class_name, "rejected"
+        )
 
     def failed(self) -> None:
         """Sends the final answer that the call has failed."""
         message = CallerMessage(self.call, binary.encode_release(self.call, CAUSE_FAILURE), "final")
-        self.callers.write(self.connection, message, self.lane, "failed")
+        self.callers.write(self.connection, message, self.class_name, "failed")
 
     def ended(self, *, cut: bool) -> None:
         """Sends the release of a standing call."""
@@ -298,8 +300,10 @@
             self._counters.add("callers.bad_set_ups")
             connection.invalid_messages += 1
             answer = CallerMessage(message.call, binary.encode_release(message.call, error.cause), "final")
-            lane = self._set_up_parser.known_class(message.parameters.get(binary.CLASS, b""), now)
-            self.write(connection, answer, lane, "rejected" if error.cause in RETRY_CAUSES else "failed")
+            class_name = self._set_up_parser.known_class(message.parameters.get(binary.CLASS, b""), now)
+            self.write(
+                connection, answer, class_name, "rejected" if error.cause in RETRY_CAUSES else "failed"
+            )
             return
         caller = BinaryCaller(self, connection, message.call, set_up.request.class_name.decode())
         if message.call in connection.open_set_ups:
@@ -331,12 +335,17 @@
     # Messages to callers
 
     def write(
-        self, connection: CallerConnection, message: CallerMessage, lane: str | None = None, result: str = ""
+        self,
+        connection: CallerConnection,
+        message: CallerMessage,
+        class_name: str | None = None,
+        result: str = "",
     ) -> None:
         """Queues a message on this connection, or drops it if that has ended; a full queue closes the
         connection.
 
-        A final answer is counted under its call class `lane` as `result` (completed, rejected or failed)."""
+        A final answer is counted under its call class `class_name` as `result` (completed, rejected or
+        failed)."""
         if message.kind in ("answer", "final"):
             message.caller = connection.open_set_ups.pop(message.call, None)
         if not connection.alive:
@@ -347,8 +356,8 @@
             self._counters.add("callers.too_slow")
             connection.scope.cancel()
         else:
-            if lane is not None:
-                self._counters.answered(lane, result)
+            if class_name is not None:
+                self._counters.answered(class_name, result)
             if message.kind == "answer":
                 self._limits.call_stands(connection, message.call)
 
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -84,7 +84,7 @@
         try:
             self._initial_list = self._directory.load(config.known)
         except DirectoryError as error:
-            raise SettingsError(f"setting known.batch makes no sense: {error}") from None
+            raise SettingsError(f"setting known.batch is malformed: {error}") from None
 
     def reload(self) -> None:
         """Reloads the configuration (at SIGHUP).
@@ -176,7 +176,7 @@
             lanes=counters.lanes(),
             upstream_requests=counters["servers.invites_written"],
             pending=self._engine.pending if self._engine is not None else 0,
-            members=self._engine.members if self._engine is not None else 0,
+            members=self._engine.listed_server_count if self._engine is not None else 0,
             members_unavailable=self._engine.unavailable if self._engine is not None else 0,
             config_reloads=counters["reload.files"],
             config_reload_errors=counters["reload.bad_files"],
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -277,7 +277,7 @@
         self._orders_version = orders.version
         self._servers_in_maintenance = orders.excluded(SERVER)
         settings = (self._config.maintenance if self._config else None) or MaintenanceSettings()
-        own_order = orders.of(CONTROLLER, self.settings.replica)
+        own_order = orders.open_order(CONTROLLER, self.settings.replica)
         self._handover.follow(own_order, clock(), settings.handover, self._has_served)
         self._handover_stage()
         self._refresh_front()
@@ -416,7 +416,7 @@
             lanes=counters.lanes(),
             upstream_requests=counters["enum.sent_udp"] + counters["enum.sent_tcp"],
             pending=self.front.pending,
-            members=self.front.members,
+            members=self.front.listed_server_count,
             members_unavailable=len(self.front.avoided),
             config_reloads=counters["store.adopted"],
         )
@@ -489,9 +489,14 @@
             gaps = self.front.gaps
             if gaps is None or not self.replica.may_act():
                 continue
-            for request in self.slot_requester.due_requests(time.time(), gaps.uses()):
+            for request in self.slot_requester.due_requests(time.time(), gaps.usage()):
                 body = RequestSlots(
-                    request.instance, request.gap, request.first, request.demand, time.time(), request.most
+                    request.instance,
+                    request.gap,
+                    request.first,
+                    request.demand,
+                    time.time(),
+                    request.max_slots,
                 )
                 self.replica.change_nowait(Envelope("", 0, body))
                 self._counters.add("gaps.asked")
--- a/tests/dnspeers.py
+++ b/tests/dnspeers.py
@@ -158,7 +158,7 @@
             time.sleep(0.02)
 
 
-class Front:
+class EnumProgram:
     """The program with an operator's file for the ENUM front and the given upstreams."""
 
     def __init__(self, *upstreams: Upstream, deadline_ms: int = 2000) -> None:
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -15,12 +15,12 @@
 import pytest
 
 from tests import peers
-from tests.dnspeers import NUMBER, Client, Front, Upstream
+from tests.dnspeers import NUMBER, Client, EnumProgram, Upstream
 
 
 def test_a_look_up_is_served_with_the_upstreams_records() -> None:
     upstream = Upstream()
-    front = Front(upstream)
+    front = EnumProgram(upstream)
     with front.run() as running:
         client = Client(front.port)
         answer = client.ask()
@@ -38,7 +38,7 @@
 def test_a_look_up_goes_on_to_the_other_upstream(mode: str) -> None:
     """An error, a refusal, silence or a closed port at one upstream must not fail a look-up."""
     failing, healthy = Upstream(), Upstream()
-    front = Front(failing, healthy)
+    front = EnumProgram(failing, healthy)
     with front.run() as running:
         client = Client(front.port)
         client.warm_up()
@@ -54,7 +54,7 @@
 
 def test_a_look_up_that_nobody_serves_gets_servfail_in_time_with_the_reason() -> None:
     """Guards against a client that is left without an answer when no upstream replies."""
-    front = Front(Upstream("silent"), deadline_ms=700)
+    front = EnumProgram(Upstream("silent"), deadline_ms=700)
     with front.run():
         start = time.time()
         answer = Client(front.port).ask()
@@ -64,7 +64,7 @@
 
 def test_names_outside_the_suffix_are_refused_and_malformed_queries_get_formerr() -> None:
     upstream = Upstream()
-    front = Front(upstream)
+    front = EnumProgram(upstream)
     with front.run() as running:
         client = Client(front.port)
         for name in ("www.lpo.example.", "e164.arpa.", "x.4.9.e164.arpa.", "44.9.e164.arpa."):
@@ -90,7 +90,7 @@
 def test_replies_count_only_with_the_id_and_question_asked() -> None:
     """Guards against forged replies: ids and source ports must not be predictable, others are dropped."""
     upstream = Upstream("forge")
-    front = Front(upstream)
+    front = EnumProgram(upstream)
     with front.run() as running:
         client = Client(front.port)
         for _ in range(5):
@@ -107,7 +107,7 @@
     """A reply too large for UDP is fetched over TCP; each client gets what fits its own transport."""
     upstream = Upstream("truncate")
     upstream.records = 40
-    front = Front(upstream)
+    front = EnumProgram(upstream)
     with front.run() as running:
         client = Client(front.port)
         small = client.ask(edns=-1)
@@ -131,7 +131,7 @@
 def test_a_retransmission_joins_the_look_up_under_way() -> None:
     """Guards against a second query upstream, and a second answer, for a retransmitted query."""
     upstream = Upstream("silent")
-    front = Front(upstream, deadline_ms=800)
+    front = EnumProgram(upstream, deadline_ms=800)
     with front.run() as running:
         client = Client(front.port)
         query = client.query()
@@ -148,7 +148,7 @@
 def test_upstreams_are_drained_and_changed_while_running() -> None:
     """A reload must lose no look-up, and nothing goes to a draining upstream after its grace."""
     old, new = Upstream(), Upstream()
-    front = Front(old, new)
+    front = EnumProgram(old, new)
     with front.run() as running:
         client = Client(front.port)
         client.warm_up()
@@ -178,7 +178,7 @@
     """Guards against lost, late and double answers; with `silent`, one of two upstreams stops answering."""
     rate, seconds = 500, 3
     upstreams = [Upstream(), Upstream()]
-    front = Front(*upstreams)
+    front = EnumProgram(*upstreams)
     with front.run() as running:
         client = Client(front.port)
         sent_at: dict[int, float] = {}  # query id -> time
--- a/tests/test_enum_start.py
+++ b/tests/test_enum_start.py
@@ -39,7 +39,7 @@
     original: Callable[..., Awaitable[Any]] = getattr(anyio, when)
 
     async def open_socket(**arguments: Any) -> Any:
-        if front.members == 0:
+        if front.listed_server_count == 0:
             front.remember(server_records(latest))
             front.apply(latest)
         return await original(**arguments)
@@ -55,7 +55,7 @@
             for n in range(10):
                 answer = await run_sync(client.ask, f"{n}.4.3.2.1.1.1.4.9.e164.arpa.")
                 rcodes.append(answer.rcode())
-            assert front.members == 2
+            assert front.listed_server_count == 2
             tasks.cancel_scope.cancel()
 
     anyio.run(run_front)
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -288,7 +288,7 @@
 ) -> Report:
     scenario = make_scenario(tomllib.loads(text), "test")
     beside = maintenance.run if maintenance else None
-    return anyio.run(ScenarioRunner(scenario, seed, folder, beside=beside).run)
+    return anyio.run(ScenarioRunner(scenario, seed, folder, concurrent_task=beside).run)
 
 
 def violated(report: Report) -> dict[str, Any]:
@@ -809,7 +809,7 @@
         seen.extend(await request_and_poll(runner, "server:s0", 6.0))
 
     scenario = make_scenario(tomllib.loads(SHORT_FAILURES + extra), "test")
-    return anyio.run(ScenarioRunner(scenario, 1, folder, beside=beside).run), seen
+    return anyio.run(ScenarioRunner(scenario, 1, folder, concurrent_task=beside).run), seen
 
 
 @pytest.mark.fleet
--- a/tests/test_gap_screen.py
+++ b/tests/test_gap_screen.py
@@ -178,7 +178,7 @@
 
 def test_for_s_counts_from_since() -> None:
     (row,) = rows({"id": "g", "number": NUMBER, "interval_s": "none", "for_s": 10, "since": 95.0})
-    assert not row.over(104.9) and row.over(105.0)
+    assert not row.has_ended(104.9) and row.has_ended(105.0)
     screen = GapScreen()
     screen.apply([row], 100.0)
     assert screen.retry_after(NUMBER, "", 104.0) is not None and screen.retry_after(NUMBER, "", 106.0) is None
--- a/tests/test_gap_shares.py
+++ b/tests/test_gap_shares.py
@@ -150,7 +150,7 @@
             for request in requesters[name].due_requests(
                 now, [("radio", 0.5, offered[name]), ("never", inf, 9)]
             ):
-                assert request.gap == "radio@0.5" and request.most == 4
+                assert request.gap == "radio@0.5" and request.max_slots == 4
                 allocator.apply(request)
                 request_count += 1
         slot = int(now // 0.5)
--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -11,7 +11,7 @@
 
 from harepick.net import binary, sip
 from tests import peers
-from tests.dnspeers import NUMBER, Client, Front, Upstream
+from tests.dnspeers import NUMBER, Client, EnumProgram, Upstream
 
 CLAIM = b"7f3a9c21e0b4d655"
 OTHER = b"0123456789abcdef"
@@ -101,7 +101,7 @@
 
 def test_enum_answers_a_gapped_number_with_servfail_and_sighup_lifts_the_gap() -> None:
     upstream = Upstream()
-    front = Front(upstream)
+    front = EnumProgram(upstream)
     text_without_gap = front.path.read_text()
     front.path.write_text(
         text_without_gap + '[[gap]]\nid = "radio"\nnumber = "+94111234"\ninterval_s = 1.0\n'
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -259,7 +259,7 @@
     log, policy_settings, handover = OrderLog(), MaintenanceSettings(), Handover()
 
     def stage(now: float, served: bool = True) -> str:
-        handover.follow(log.orders.of(CONTROLLER, "b"), now, 1.0, served)
+        handover.follow(log.orders.open_order(CONTROLLER, "b"), now, 1.0, served)
         return handover.stage(now)
 
     b = log.request("b", CONTROLLER)
@@ -268,13 +268,13 @@
     assert stage(1.0) == HANDING_OVER and handover.stage(1.99) == HANDING_OVER
     log.request("s0")  # an unrelated entry must not restart the handover time
     assert stage(1.9) == HANDING_OVER and handover.stage(2.0) == CLOSED
-    assert log.orders.given_up() == frozenset()
+    assert log.orders.inactive_controllers() == frozenset()
     log.apply(ReportIdle(b, "b"))
-    assert stage(2.1) == CLOSED and log.orders.given_up() == {"b"}
+    assert stage(2.1) == CLOSED and log.orders.inactive_controllers() == {"b"}
     log.settle(policy_settings, fleet_state())
     assert stage(2.2) == OUT
     log.apply(FinishOrder(b))
-    assert stage(2.3) == SERVING and log.orders.given_up() == frozenset()
+    assert stage(2.3) == SERVING and log.orders.inactive_controllers() == frozenset()
     # A process that starts under an order has no callers and accepts none.
     log.request("b", CONTROLLER)
     log.settle(policy_settings, fleet_state())
@@ -289,7 +289,7 @@
     b = log.request("b", CONTROLLER)
     log.settle(MaintenanceSettings(), fleet_state())
     log.apply(ReportIdle(b, "b"))  # reported by the previous process
-    handover.follow(log.orders.of(CONTROLLER, "b"), 0.0, 60.0, True)
+    handover.follow(log.orders.open_order(CONTROLLER, "b"), 0.0, 60.0, True)
     assert handover.stage(0.1) == CLOSED
 
 
@@ -387,12 +387,12 @@
 
     @rule(name=st.sampled_from(sorted(SERVERS)), priority=st.integers(-1, 1))
     def request_server(self, name: str, priority: int) -> None:
-        if self.log.orders.of(SERVER, name) is None:
+        if self.log.orders.open_order(SERVER, name) is None:
             self.log.request(name, priority=priority)
 
     @rule(name=st.sampled_from(NAMES[1:]))
     def request_controller(self, name: str) -> None:
-        if self.log.orders.of(CONTROLLER, name) is None:
+        if self.log.orders.open_order(CONTROLLER, name) is None:
             self.log.request(name, CONTROLLER)
 
     @rule(choice=st.integers(0, 20))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -296,7 +296,9 @@
 def run_scenario(folder: Path, text: str) -> tuple[Report, list[float]]:
     """Returns the report, and the times of acknowledged changes that began while three of five were lost."""
     report = anyio.run(
-        ScenarioRunner(make_scenario(tomllib.loads(text), "lost"), 1, folder, beside=wait_for_all_members).run
+        ScenarioRunner(
+            make_scenario(tomllib.loads(text), "lost"), 1, folder, concurrent_task=wait_for_all_members
+        ).run
     )
     begun = {e["note"]: e.mono - report.start for e in report.events if e.event == "change"}
     acknowledged_at = [
