--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -32,8 +32,8 @@
 from harepick.fleet.ports import free_ports
 
 ROOT = Path(__file__).parent.parent
-SO_TIMESTAMPNS = 35
-TIMESPEC = struct.Struct("qq")
+SO_TIMESTAMPNS = 35  # Linux socket option: kernel receive time stamps
+TIMESPEC = struct.Struct("qq")  # seconds, nanoseconds
 HOST = "127.0.0.1"
 SUFFIX = "e164.arpa."
 
@@ -160,7 +160,7 @@
         return daemon
 
     def start(self) -> None:
-        """Initializes the folders (a single replica needs none of that) and starts all daemons."""
+        """Initializes the folders (not needed for a single replica) and starts all daemons."""
         if len(self.daemons) > 1:
             for daemon in self.daemons:
                 self.tool("store", "init", "--operator", str(daemon.path))
@@ -282,15 +282,17 @@
         self.rate = rate
         self.sent: list[float] = []  # Unix time, indexed by query number
         self.answers: dict[int, tuple[float, int]] = {}  # query number -> (Unix time, rcode)
-        self.repeated = 0
-        self._offset = seed * 7919
+        self.repeated = 0  # answers to queries that were answered before
+        self._first_number = seed * 7919
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 21)
         self._socket.setblocking(False)
         self._target = (HOST, port)
         self._done = threading.Event()
         # Encoded beforehand to keep up with the rate. The id carries the low 16 bits of the query number.
-        self._queries = [query_bytes(0, f"9411{(self._offset + n) % 1000000:07d}")[2:] for n in range(512)]
+        self._queries = [
+            query_bytes(0, f"9411{(self._first_number + n) % 1000000:07d}")[2:] for n in range(512)
+        ]
 
     def run(self) -> None:
         start = time.time()
@@ -314,6 +316,7 @@
             except OSError:
                 continue
             query_id = int.from_bytes(data[:2], "big")
+            # The latest query sent whose number has these low 16 bits.
             number = (len(self.sent) - 1) & ~0xFFFF | query_id
             if number >= len(self.sent):
                 number -= 0x10000
@@ -366,7 +369,7 @@
                 seconds, nanoseconds = TIMESPEC.unpack(extra[0][2][: TIMESPEC.size])
                 arrivals.append((seconds + nanoseconds / 1e9, numbers[fd]))
                 reply = bytearray(data)
-                reply[2] |= 0x80
+                reply[2] |= 0x80  # the QR flag: the query is returned as an empty response
                 with suppress(OSError):
                     sock.sendto(reply, peer)
 
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -42,10 +42,10 @@
 
     def __init__(self, name: str, rng: Random, initial_state: Callable[[], State], broken: str) -> None:
         self.name, self.clock_rate = name, rng.uniform(*CLOCK_RATES)
-        self.offset = rng.uniform(0.0, 1000.0)
+        self.clock_offset = rng.uniform(0.0, 1000.0)
         self.broken = broken
         self.up, self.paused = True, False
-        self.believes_leader = False  # whether it takes itself for the leader
+        self.believes_leader = False  # may be wrong: a deposed leader learns of it late
         self.grants = Grants(LEASE_S)
         self._initial_state = initial_state
         self._reset(rng)
@@ -63,8 +63,8 @@
         self._reset(rng)
 
     def clock(self, now: float) -> float:
-        """Its own clock at a time of the world."""
-        return self.offset + now * self.clock_rate
+        """The reading of its own clock at simulated time `now`, both in seconds."""
+        return self.clock_offset + now * self.clock_rate
 
     def may_act(self, now: float) -> bool:
         """Whether its lease lets it act now."""
@@ -88,9 +88,9 @@
         self.committed_state = self.initial_state()
         self.true_leader = ""
         self.pending: list[tuple[str, Any]] = []  # (proposer, command), not yet committed
-        self.cut_links: set[tuple[str, str]] = set()
-        self.loss = self.rng.choice((0.0, 0.05, 0.2))
-        self.max_delay = self.rng.choice((0.01, 0.05, 0.2))
+        self.cut_links: set[tuple[str, str]] = set()  # (sender, receiver) pairs
+        self.loss = self.rng.choice((0.0, 0.05, 0.2))  # probability that a message is lost
+        self.max_delay = self.rng.choice((0.01, 0.05, 0.2))  # seconds that a message may take
         self.skew = dict.fromkeys(self.names, 1.0)  # relative demand at each instance
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._event_count = 0
@@ -125,19 +125,19 @@
         """A tick of any running instance, whether or not it may act."""
 
     def start_load(self) -> None:
-        """Schedules what operators and callers do."""
+        """Schedules the actions of operators and callers."""
 
     def inject_own_fault(self) -> None:
         """Injects a fault that only this subclass has."""
 
     def statistics(self) -> dict[str, float]:
-        """What the schedule came to; the keys are those of the JSON line."""
+        """Counts of what happened in the run; the keys are those of the JSON line."""
         return {"steps": self.steps, "entries": len(self.log)}
 
     # Time and messages
 
     def call_at(self, when: float, work: Callable[[], None]) -> None:
-        """Runs `work` at a time of the world, in seconds."""
+        """Runs `work` at simulated time `when`, in seconds."""
         self._event_count += 1
         heapq.heappush(self._heap, (when, self._event_count, work))
 
@@ -165,7 +165,7 @@
     # The log
 
     def _reaches_quorum(self, name: str) -> bool:
-        """Whether it can now exchange messages with a majority, itself included."""
+        """Whether the instance can now exchange messages with a majority, itself included."""
         instance = self.instances[name]
         reachable = sum(
             other == name
@@ -260,12 +260,13 @@
         if clock >= instance.next_request_at:
             instance.next_request_at = clock + RENEW_INTERVAL_S
             self._request_lease(name)
+        # For index 0 the list is empty unless leases of an earlier leader may still run.
         if instance.believes_leader and not instance.grants.unconfirmed_by(0, clock):
             grants = instance.grants
-            skip = self.broken == "no_confirmation"
+            skip_confirmation = self.broken == "no_confirmation"
 
             def unconfirmed_by(index: int) -> list[str]:
-                return [] if skip else grants.unconfirmed_by(index, clock)
+                return [] if skip_confirmation else grants.unconfirmed_by(index, clock)
 
             self.act_as_leader(instance, frozenset(grants.holders(clock)), unconfirmed_by)
         self.tick(instance)
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -45,8 +45,8 @@
 
     name: str
     files: FaultyFiles
-    clock_rate: float  # seconds of its clock per second of the world
-    offset: float
+    clock_rate: float  # seconds of its clock per simulated second
+    clock_offset: float  # its clock at simulated time 0, in seconds
     node: Node | None = None
     storage: Storage | None = None
     incarnation: int = 0  # number of the current process
@@ -55,8 +55,8 @@
     writing: Writes | None = None
     checked: dict[int, int] = field(default_factory=dict)  # index -> term that was compared
     committed: int = 0  # index up to which commits were compared
-    led: tuple[int, int] = (0, 0)  # term and incarnation in which it was last seen to lead
-    revision: int = 0
+    last_led: tuple[int, int] = (0, 0)  # term and incarnation in which it was last seen to lead
+    revision: int = 0  # number of the configuration that it acts on
 
 
 @dataclass
@@ -82,17 +82,18 @@
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._event_count = 0
         self.hosts: dict[str, Host] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.loss = self.rng.choice((0.0, 0.02, 0.1))
-        self.repeat = self.rng.choice((0.0, 0.05))
-        self.delay = self.rng.choice((0.002, 0.01, 0.03))
+        self.cuts: set[tuple[str, str]] = set()  # (sender, receiver) pairs that lose all messages
+        self.loss = self.rng.choice((0.0, 0.02, 0.1))  # probability that a message is lost
+        self.repeat = self.rng.choice((0.0, 0.05))  # probability that a message is sent twice
+        self.delay = self.rng.choice((0.002, 0.01, 0.03))  # mean seconds that a message takes
         self.stats = dict.fromkeys(
             ("acts", "refused_acts", "acks", "crashes", "pauses", "cuts", "members", "snapshots", "leaders"),
             0,
         )
-        self.leaders: dict[int, str] = {}
+        self.leaders: dict[int, str] = {}  # term -> leader
+        # (index, term) -> data, term of the preceding entry
         self.entries: dict[tuple[int, int], tuple[bytes, int | None]] = {}
-        self.committed: dict[int, tuple[int, bytes]] = {}
+        self.committed: dict[int, tuple[int, bytes]] = {}  # index -> term, data
         self.committed_in: dict[int, int] = {}  # index -> term of the leader that committed it
         self.acknowledged = 0  # highest acknowledged revision
         self.acknowledged_texts: dict[str, int] = {}
@@ -113,24 +114,24 @@
     # Time
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
-        """Runs a callback after a delay, in seconds of the world."""
+        """Runs a callback after a delay, in simulated seconds."""
         self._event_count += 1
         heapq.heappush(self._queue, (self.now + delay, self._event_count, callback))
 
     def run_until(self, seconds: float) -> None:
-        """Runs all callbacks that are due until then."""
+        """Runs all callbacks that are due up to that simulated time, in seconds."""
         while self._queue and self._queue[0][0] <= seconds:
             self.now, _, callback = heapq.heappop(self._queue)
             self.steps += 1
             callback()
 
     def next_due(self) -> float:
-        """When the next callback is due."""
+        """The simulated time at which the next callback is due, in seconds."""
         return self._queue[0][0]
 
     def clock(self, host: Host) -> float:
-        """The host's own clock."""
-        return self.now * host.clock_rate + host.offset
+        """The reading of the host's own clock, in seconds."""
+        return self.now * host.clock_rate + host.clock_offset
 
     # Hosts
 
@@ -304,7 +305,7 @@
         self.call_later(rng.expovariate(1 / 0.1), self._client)
         unanswered = [pending for pending in self.requests if not pending.done]
         if unanswered and rng.random() < 0.5:
-            request = rng.choice(unanswered)  # as after a time-out: the same change and number
+            request = rng.choice(unanswered)  # a retry after a time-out: the same change and number
         elif len(unanswered) < 8:
             self.sessions += 1
             expect = self.acknowledged if rng.random() < 0.3 else None
@@ -470,8 +471,8 @@
             holder = self.leaders.setdefault(raft.term, host.name)
             if holder != host.name:
                 raise ViolationError(f"two leaders in term {raft.term}: {holder} and {host.name}")
-            if (raft.term, host.incarnation) != host.led:
-                host.led = (raft.term, host.incarnation)
+            if (raft.term, host.incarnation) != host.last_led:
+                host.last_led = (raft.term, host.incarnation)
                 self.stats["leaders"] += 1
                 self._check_leader_completeness(host)
         self._check_log_matching(host)
--- a/harepick/cli/common.py
+++ b/harepick/cli/common.py
@@ -1,4 +1,4 @@
-"""Shared by the sub-commands: access to the store, printing of results and errors, exit codes."""
+"""What the sub-commands share: access to the store, printing of results and errors, exit codes."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
 
 
 def author() -> str:
-    """`user@host` of whoever runs the command; empty if unknown."""
+    """`user@host` of the user who runs the command; empty if unknown."""
     try:
         return f"{getpass.getuser()}@{socket.gethostname()}"
     except (KeyError, OSError):
--- a/harepick/cli/gap.py
+++ b/harepick/cli/gap.py
@@ -55,7 +55,7 @@
 
 
 def _build_screen(rows: tuple[GapRow, ...], file: str | None, zone: str, store: StoreAccess) -> GapScreen:
-    """The gaps as an instance applies them now; those of the store without any that are over.
+    """The gaps as an instance applies them now; leaves out those of the store that have ended.
 
     Ends the program with an error if they are invalid.
     """
--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -31,15 +31,16 @@
 LENGTH_PREFIX = struct.Struct(">H")  # before each message over TCP (RFC 1035)
 SEND_TIMEOUT_S = 2.0
 UDP_RECEIVE_BUFFER_BYTES = 1 << 20  # holds the queries that arrive while the core is busy
-OUTCOME_NAMES = {"served": "completed", "refused": "rejected", "failed": "failed"}  # by class
+# Outcome of a look-up -> its name in the counters by class.
+OUTCOME_NAMES = {"served": "completed", "refused": "rejected", "failed": "failed"}
 ANSWER_MARGIN_S = 0.2  # the core's deadline is this long before the client's, so that the answer is in time
-Key = tuple[object, int, codec.Question]
+Key = tuple[object, int, codec.Question]  # client, query id, question: the same in a retransmission
 Write = Callable[[bytes], None]
 
 
 @dataclass(slots=True)
 class Client:
-    """The destination of an answer."""
+    """A client's UDP address or TCP connection, to which its answers are written."""
 
     name: object  # peer address, or the outbox of a TCP connection
     host: str
@@ -83,7 +84,10 @@
             self._finish(data, "served")
 
     def refused(self, retry_after: float) -> None:
-        """Answers SERVFAIL; the extended error says how many seconds to stay away, if any."""
+        """Answers SERVFAIL; the extended error says how many milliseconds to stay away, if any.
+
+        `retry_after` is in seconds; 0: the error names no time.
+        """
         text = (
             f"overloaded, stay away for {round(retry_after * 1000)} ms" if retry_after > 0 else "overloaded"
         )
@@ -113,7 +117,7 @@
 
 
 class ActiveConfig:
-    """What new look-ups are accepted under: a configuration, its routes, and the inbox of the core in use."""
+    """What applies to new look-ups: the configuration, its routes, and the inbox of their core."""
 
     def __init__(self, config: EnumSettings, first_choice: Callable[[str], int], inbox: Inbox) -> None:
         self.config, self.first_choice, self.inbox = config, first_choice, inbox
@@ -129,7 +133,7 @@
         self._log = log
         self._lookups: dict[Key, Lookup] = {}
         self._lookup_count = 0
-        self._connections = 0
+        self._tcp_connections = 0
         self._udp: Outbox[tuple[bytes, tuple[str, int]]] = Outbox()
 
     @property
@@ -170,10 +174,10 @@
     async def serve_tcp(self, stream: SocketStream) -> None:
         """Serves one TCP client, which may have many queries in progress on its connection."""
         async with stream:
-            if self._connections >= self._active.config.tcp_clients:
+            if self._tcp_connections >= self._active.config.tcp_clients:
                 self.counters.add("enum.turned_away")
                 return
-            self._connections += 1
+            self._tcp_connections += 1
             outbox: Outbox[bytes] = Outbox()
             try:
                 async with anyio.create_task_group() as tasks:
@@ -181,9 +185,9 @@
                     await self._read_tcp(stream, outbox)
                     tasks.cancel_scope.cancel()
             finally:
-                self._connections -= 1
+                self._tcp_connections -= 1
                 with anyio.CancelScope(shield=True):
-                    for key, lookup in [(k, c) for k, c in self._lookups.items() if k[0] is outbox]:
+                    for key, lookup in [(k, v) for k, v in self._lookups.items() if k[0] is outbox]:
                         self._lookups.pop(key, None)
                         lookup.gone = True
                         await lookup.inbox.put(CallerGone(lookup.call, lookup))
@@ -258,7 +262,7 @@
                 call=call,
                 class_name=config.call_class,
                 destination=active.first_choice(number),
-                # The same for every query of this client for this number, so that a redial is recognized.
+                # Identifies client and called number, so that a repeated look-up is recognized as a redial.
                 number=zlib.crc32(f"{client.host} {number}".encode()),
                 deadline=now + max(config.deadline - ANSWER_MARGIN_S, config.deadline / 2),
                 caller=lookup,
--- a/harepick/enumdns/service.py
+++ b/harepick/enumdns/service.py
@@ -36,15 +36,15 @@
     from harepick.gapping.gaps import SlotOwnership
     from harepick.gapping.screen import GapScreen
 
-STOP_GRACE_S = 0.2  # after a stop, queries in flight to us are still accepted for this long
+STOP_GRACE_S = 0.2  # after a stop, queries that are on their way are still accepted for this long
 FLUSH_TIMEOUT_S = 0.2
-RETIRE_MARGIN_S = 0.5  # an old generation stays this much longer than its last look-up may take
-MAX_NUMBERS = 1_024  # of servers, past and present
-MAX_GENERATIONS = 8  # further changes wait: each generation has sockets of its own
+RETIRE_MARGIN_S = 0.5  # an old generation runs this much longer than the deadline of its last look-up
+MAX_SERVER_NUMBERS = 1_024  # kept for present and earlier servers
+MAX_GENERATIONS = 8  # each has its own sockets; further changes wait until one has retired
 
 
 def server_name(name: str, address: Address) -> str:
-    """The controller's name of an upstream; with a new address it is another server."""
+    """The controller's name of an upstream, which includes the address: a new address makes a new server."""
     return f"{name}@{address}"
 
 
@@ -127,7 +127,7 @@
         self._path, self._counters, self._log, self._send_permission = path, counters, log, send_permission
         self._config = config
         self.directory = Directory()
-        self._numbers: dict[str, int] = {}  # server -> its number, which never changes
+        self._server_numbers: dict[str, int] = {}  # server -> its number, which never changes
         self._config_changed = anyio.Event()
         self._pending_config: EnumSettings | None = None
         self._generations: list[Generation] = []
@@ -185,7 +185,7 @@
             del self._concurrency_limits[name]
         if not self._generations:
             return
-        servers = [server for server in self._numbers if server.partition("@")[0] == name]
+        servers = [server for server in self._server_numbers if server.partition("@")[0] == name]
         current = [e.server for e in self.directory.entries() if e.server in servers and e.state != "gone"]
         newest = self._generations[-1]
         elsewhere = 0
@@ -266,7 +266,7 @@
 
     def remember(self, rows: Sequence[ServerRecord]) -> None:
         """Restores the pool as it was known before a restart; the current one follows by `apply`."""
-        self._numbers |= {row.entry.server: row.entry.number for row in rows}
+        self._server_numbers |= {row.entry.server: row.entry.number for row in rows}
         self.directory.update(list(rows), whole=False)
         known = interface.ServerList(interface.ListKind.REMEMBERED, self.directory.entries())
         for generation in self._generations:
@@ -294,7 +294,7 @@
             self._generations.append(first)
             await tasks.start(first.run, change)
             dns_listener = self._listener = DnsListener(self._active_config(config, first), counters, log)
-            if self._config is not config:  # one from the store arrived while the sockets were opened
+            if self._config is not config:  # `apply` stored a newer one while the sockets were opened
                 latest, self._config = self._config, config
                 self.apply(latest)
                 # The core may have missed a pool restored in the meantime: pass it the whole list.
@@ -346,7 +346,7 @@
         self._generations.remove(old)
 
     def _active_config(self, config: EnumSettings, generation: Generation) -> ActiveConfig:
-        numbers = {u.name: self._numbers[server_name(u.name, u.address)] for u in config.upstreams}
+        numbers = {u.name: self._server_numbers[server_name(u.name, u.address)] for u in config.upstreams}
         ready = [u.name for u in config.upstreams if not u.draining]
         routes = Routes(config.routes, numbers, ready)
         return ActiveConfig(generation.config, routes.first_choice, generation.inbox)
@@ -355,12 +355,14 @@
         records = []
         for upstream in config.upstreams:
             server = server_name(upstream.name, upstream.address)
-            number = self._numbers.setdefault(server, max(self._numbers.values(), default=-1) + 1)
+            number = self._server_numbers.setdefault(
+                server, max(self._server_numbers.values(), default=-1) + 1
+            )
             state = "draining" if upstream.draining else "ready"
             records.append(ServerRecord(interface.ServerEntry(server, number, state), upstream.address))
-        while len(self._numbers) > MAX_NUMBERS:  # bounds the memory kept for earlier upstreams
+        while len(self._server_numbers) > MAX_SERVER_NUMBERS:  # bounds the memory kept for earlier upstreams
             kept = {record.entry.server for record in records}
-            del self._numbers[next(name for name in self._numbers if name not in kept)]
+            del self._server_numbers[next(name for name in self._server_numbers if name not in kept)]
         return records
 
 
--- a/harepick/enumdns/upstreams.py
+++ b/harepick/enumdns/upstreams.py
@@ -26,8 +26,8 @@
 from harepick.log import Log
 from harepick.settings import Address
 
-CHANNELS_PER_UPSTREAM = 16  # a query goes out from a random one: its source port cannot be predicted
-QUERIES_PER_CHANNEL = 256  # then the channel is replaced by one with a new source port
+CHANNELS_PER_UPSTREAM = 16  # each query uses a random one, so that its source port cannot be predicted
+QUERIES_PER_CHANNEL = 256  # after this many, a channel is replaced by one with a new source port
 MAX_DATAGRAM_BYTES = 65_535
 MAX_TCP_EXCHANGES = 32  # in progress at one upstream
 SERVED_RCODES = (dns.rcode.NOERROR, dns.rcode.NXDOMAIN)
@@ -69,7 +69,7 @@
         self._channels: dict[str, list[Channel]] = {}
         self._open_queries: dict[Attempt, tuple[Channel, int]] = {}
         self._over_tcp: dict[Attempt, anyio.CancelScope] = {}
-        self._tcp_slots: dict[str, anyio.Semaphore] = {}
+        self._tcp_slots: dict[str, anyio.Semaphore] = {}  # by server; `MAX_TCP_EXCHANGES` each
         self._tasks: TaskGroup | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
@@ -88,10 +88,10 @@
         for _ in range(2):  # the first send may report the error of an earlier query on the same socket
             try:
                 channel = self._channel(attempt.server, record.address)
-                ident = self._random.randrange(1 << 16)
-                while ident in channel.attempts:
-                    ident = self._random.randrange(1 << 16)
-                data = codec.encode_query(question, ident, self._payload)
+                query_id = self._random.randrange(1 << 16)
+                while query_id in channel.attempts:
+                    query_id = self._random.randrange(1 << 16)
+                data = codec.encode_query(question, query_id, self._payload)
                 # Checked directly before the send: a process that was suspended in between would resume and
                 # send a query that is no longer allowed.
                 if not attempt.may_send(time.time()):
@@ -109,8 +109,8 @@
             if not attempt.may_send(now):
                 self._count("enum.doubtful")  # the process was suspended between the check and the send
             channel.queries_sent += 1
-            channel.attempts[ident] = attempt
-            self._open_queries[attempt] = (channel, ident)
+            channel.attempts[query_id] = attempt
+            self._open_queries[attempt] = (channel, query_id)
             self._count("enum.sent_udp")
             return None
         return interface.Outcome.UNREACHED
@@ -118,10 +118,10 @@
     def cancel(self, attempt: Attempt) -> bool:
         """Forgets the query, so that its reply is not matched: DNS has no message to cancel one."""
         if open_query := self._open_queries.pop(attempt, None):
-            channel, ident = open_query
-            channel.attempts.pop(ident, None)
+            channel, query_id = open_query
+            channel.attempts.pop(query_id, None)
             if channel.queries_sent >= QUERIES_PER_CHANNEL and not channel.attempts:
-                channel.scope.cancel()  # it was kept open only for this query
+                channel.scope.cancel()  # a replaced channel stays open only for its unanswered queries
         if scope := self._over_tcp.pop(attempt, None):
             scope.cancel()
         return True
@@ -134,7 +134,7 @@
         for entry in event.entries:
             if entry.state == "gone":
                 for channel in self._channels.pop(entry.server, []):
-                    channel.queries_sent = QUERIES_PER_CHANNEL
+                    channel.queries_sent = QUERIES_PER_CHANNEL  # `_receive` ends after the last reply
                     if not channel.attempts:
                         channel.scope.cancel()
 
@@ -167,12 +167,13 @@
                     data = channel.sock.recv(MAX_DATAGRAM_BYTES)
                 except BlockingIOError:
                     continue
-                except OSError:  # ICMP port unreachable: the queries sent there were not received
+                except OSError:  # ICMP port unreachable: the upstream did not receive the queries
                     self._port_unreachable(channel)
                     continue
                 await self._handle_reply(server, channel, data)
 
     def _port_unreachable(self, channel: Channel) -> None:
+        """Reports all attempts of the channel as unreached, after an ICMP error."""
         assert self._tasks is not None
         self._count("enum.unreached")
         for attempt in list(channel.attempts.values()):
@@ -191,7 +192,7 @@
         if not reply.truncated:
             await self._report_reply(attempt, reply)
             return
-        # The exchange over TCP belongs to the same attempt; the one over UDP is over.
+        # The same attempt goes on over TCP; its query over UDP is finished.
         assert self._tasks is not None
         self._count("enum.truncated")
         scope = self._over_tcp[attempt] = anyio.CancelScope()
@@ -227,7 +228,7 @@
         if record is None:
             return None
         question: Question = attempt.request  # type: ignore[assignment]
-        ident = self._random.randrange(1 << 16)
+        query_id = self._random.randrange(1 << 16)
         family = socket.AF_INET6 if ":" in record.address.host else socket.AF_INET
         with socket.socket(family, socket.SOCK_STREAM) as sock:
             sock.setblocking(False)
@@ -236,7 +237,7 @@
                     await anyio.wait_writable(sock)
                 if error := sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     raise OSError(error, "could not connect to the upstream over TCP")
-            query = codec.encode_query(question, ident, self._payload)
+            query = codec.encode_query(question, query_id, self._payload)
             query = len(query).to_bytes(2, "big") + query
             if not attempt.may_send(time.time()):
                 return None  # the upstream drains or the deadline passed while the connection was set up
@@ -252,7 +253,7 @@
                     raise anyio.EndOfStream
                 data += received
             reply = codec.read_reply(data[2 : 2 + int.from_bytes(data[:2], "big")])
-        if reply is None or (reply.id, reply.question) != (ident, question) or reply.truncated:
+        if reply is None or (reply.id, reply.question) != (query_id, question) or reply.truncated:
             self._count("enum.unmatched")
             return None
         return reply
