--- a/harepick/fleet/load.py
+++ b/harepick/fleet/load.py
@@ -79,7 +79,9 @@
         history: Recorder,
         readiness: Readiness | None = None,
     ) -> None:
-        """`ports`: DNS port of each instance by name; `index` is the position of `name` among them."""
+        """Encodes the queries, which holds up the event loop; `run` opens the sockets.
+
+        `ports`: DNS port of each instance by name; `index` is the position of `name` among them."""
         instance_count = len(ports)
         self.name = name
         self._readiness = readiness
@@ -88,12 +90,13 @@
         prefixes = [prefix for prefix, _ in load.numbers]
         prefix_weights = [weight for _, weight in load.numbers]
         self._queries: list[tuple[str, str, bytes]] = []  # prefix of the number, caller, query
-        self._sockets = {caller: _socket(caller) for caller, _ in load.callers or (("", 1.0),)}
+        self._callers = [caller for caller, _ in load.callers] or [""]
+        self._sockets: dict[str, socket.socket] = {}  # by caller, while `run` runs
         caller_weights = [weight for _, weight in load.callers] or [1.0]
         for _ in range(QUERY_COUNT):
             prefix = rng.choices(prefixes, prefix_weights)[0]
             digits = "".join(rng.choice("0123456789") for _ in range(max(0, NUMBER_DIGITS + 1 - len(prefix))))
-            caller = rng.choices(list(self._sockets), caller_weights)[0]
+            caller = rng.choices(self._callers, caller_weights)[0]
             self._queries.append((prefix, caller, query_bytes(prefix + digits)))
         self._addresses = {name: (HOST, port) for name, port in ports.items()}
         self._open: OrderedDict[int, _Sent] = OrderedDict()  # query id -> look-up, oldest first
@@ -103,8 +106,8 @@
     async def run(self, start: float) -> None:
         """Sends until cancelled; the load begins at `start`, a time of the monotonic clock."""
         with ExitStack() as stack:
-            for sock in self._sockets.values():
-                stack.enter_context(sock)
+            for caller in self._callers:
+                self._sockets[caller] = stack.enter_context(_socket(caller))
             async with anyio.create_task_group() as tasks:
                 for sock in self._sockets.values():
                     tasks.start_soon(self._receive, sock)
--- a/harepick/fleet/processes.py
+++ b/harepick/fleet/processes.py
@@ -29,6 +29,8 @@
 SERVE_TIMEOUT_S = 20.0  # for an instance to serve after its start
 STOP_TIMEOUT_S = 10.0  # from SIGTERM until an instance is killed; also for the supervisor's own end
 POLL_INTERVAL_S = 0.02  # between two reads of a process's log
+# For one port: a read of the kernel's table misses open sockets while others are opened and closed.
+SOCKET_TABLE_READS = 5
 
 
 class RigError(Exception):
@@ -246,10 +248,9 @@
     instance.
 
     The relay sees only a datagram's source port, as all instances send from one address."""
-    inodes = _udp_inodes(port)
-    for name, process_id in ids.items():
-        if inodes and _has_open(process_id, inodes):
-            return name
+    for _ in range(SOCKET_TABLE_READS):
+        if inodes := _udp_inodes(port):
+            return next((name for name, process_id in ids.items() if _has_open(process_id, inodes)), "")
     return ""
 
 
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -142,22 +142,17 @@
         )
         await tasks.start(self._servers.run)
         await self._prepare()
+        # Before the instances start: it holds up the relay, and leases and elections with it.
+        readiness = self._prepare_load()
         for instance in self.instances.values():
             tasks.start_soon(self._start_instance, instance)
         await self._wait_until_all_serve("the start")
         self._started_at = time.monotonic()
         self.history.note("began_play", scenario=self.scenario.name, seed=self.seed)
         self._report_progress(f"{len(self.instances)} instances serve")
-        readiness = None
-        if self.scenario.load.follow:
-            readiness = Readiness({n: i.ops_port for n, i in self.instances.items()}, self.history)
+        if readiness:
             tasks.start_soon(readiness.run)
-        ports = {name: instance.dns_port for name, instance in self.instances.items()}
-        for index, name in enumerate(ports):
-            generator = LoadGenerator(
-                name, index, ports, self.scenario.load, self.seed, self.history, readiness
-            )
-            self._generators.append(generator)
+        for generator in self._generators:
             tasks.start_soon(generator.run, self._started_at)
         stop = anyio.Event()
         changed = anyio.Event()
@@ -217,6 +212,19 @@
         (self.folder / "first.toml").write_text(await self._configuration(1))
         self._revision = 1
 
+    def _prepare_load(self) -> Readiness | None:
+        """Builds the load generators, and the readiness that they follow if the scenario says so."""
+        readiness = None
+        if self.scenario.load.follow:
+            readiness = Readiness({n: i.ops_port for n, i in self.instances.items()}, self.history)
+        ports = {name: instance.dns_port for name, instance in self.instances.items()}
+        for index, name in enumerate(ports):
+            generator = LoadGenerator(
+                name, index, ports, self.scenario.load, self.seed, self.history, readiness
+            )
+            self._generators.append(generator)
+        return readiness
+
     async def _configuration(self, revision: int) -> str:
         """The text of a revision of the configuration; each has its own server addresses."""
         servers = []
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -23,10 +23,11 @@
 import pytest
 from anyio.abc import SocketStream
 
-from harepick.fleet import child
+from harepick.fleet import child, processes, runner
 from harepick.fleet.checks import run_checks
 from harepick.fleet.faults import Fault, Network
 from harepick.fleet.history import Event, merge
+from harepick.fleet.load import LoadGenerator
 from harepick.fleet.maintenance_rounds import MaintenanceRounds, call_until_answered
 from harepick.fleet.ports import HOST
 from harepick.fleet.processes import ROOT, udp_owner
@@ -204,6 +205,25 @@
     run_bounded(work)
 
 
+def test_a_port_missing_from_one_read_of_the_socket_table_is_identified(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The kernel's table is read in parts, so that a read misses sockets while others open and close. An
+    instance whose port stayed unknown would escape the faults of its links."""
+    reads = [0]
+    read_table = processes._udp_inodes
+
+    def first_read_misses(port: int) -> set[str]:
+        reads[0] += 1
+        return read_table(port) if reads[0] > 1 else set()
+
+    monkeypatch.setattr(processes, "_udp_inodes", first_read_misses)
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.bind((HOST, 0))
+        assert udp_owner(sock.getsockname()[1], {"me": os.getpid()}) == "me"
+    assert reads == [2]
+
+
 def test_the_relay_refuses_addresses_beyond_loopback() -> None:
     """Faults must never be applied to traffic that leaves the machine."""
     with pytest.raises(RelayError, match="loopback"):
@@ -563,6 +583,27 @@
     assert violated(report).keys() == {"admissions_by_caller"}, violated(report)
 
 
+@pytest.mark.fleet
+def test_the_load_is_prepared_before_the_first_instance_starts(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Encoding the queries holds up the rig, whose relay carries the instances' heartbeats: done while the
+    instances run, it costs them their leases and the leader its term."""
+    prepared_at: list[float] = []
+
+    class TimedGenerator(LoadGenerator):
+        def __init__(self, *args: Any) -> None:
+            super().__init__(*args)
+            prepared_at.append(time.monotonic())
+
+    monkeypatch.setattr(runner, "LoadGenerator", TimedGenerator)
+    report = run_scenario(tmp_path, "instances = 2\nseconds = 1.0\n[load]\nrate = 20.0\n")
+    assert report.ok, report.line()
+    starts = [e.mono for e in report.events if e.event == "process" and e["what"] == "start"]
+    assert len(prepared_at) == len(starts) == 2
+    assert max(prepared_at) < min(starts), "queries were encoded while instances ran"
+
+
 # Only the link from a to s0 is broken: a reports the failure, and all instances follow the verdict.
 VERDICT = """
 instances = 3
