--- a/harepick/fleet/limits/caller_buckets.py
+++ b/harepick/fleet/limits/caller_buckets.py
@@ -1,9 +1,9 @@
 """Token buckets by caller address, for a limit that applies to each caller. Pure: time is an argument.
 
 On one instance, each caller's bucket fills at the instance's base share without a request, plus the share
-allocated to that caller by name (`policy.py`). The table of buckets is bounded. When a caller's bucket is
-dropped, a caller without a bucket is assumed to have been empty at the latest last use of any dropped bucket.
-This never overestimates its tokens, so a flood of caller addresses lets no caller exceed its limit.
+allocated to that caller by name (`policy.py`). The table of buckets is bounded; the least recently used one
+is dropped. A caller without a bucket gets no tokens for the time before the last refill of any dropped
+bucket, which may have been its own. So a flood of caller addresses lets no caller exceed its limit.
 """
 
 from __future__ import annotations
@@ -27,7 +27,8 @@
 class _CallerBucket:
     """One caller's token bucket.
 
-    `base_credit` (for the base share) and `refilled_at` (for a named share) tell up to when it was refilled.
+    `refilled_at` is the time of its last refill, and `base_credit` the table's base credit at that time. The
+    next refill adds the base credit gained since, and the tokens of a named share for the time since.
     """
 
     tokens: float
@@ -77,8 +78,8 @@
     def _capacity(self, caller: str) -> float:
         """Most tokens that a caller may accumulate here; at least 1, however small its share.
 
-        The burst follows from the base share, not from named shares, so that an infrequent caller may place
-        two calls in quick succession.
+        The burst is computed from the base share alone, scaled up to the whole limit, so that a caller
+        without a named share may place two calls in quick succession too.
         """
         if self._base <= 0:
             return 1.0 if self._named_shares.get(caller) else 0.0
@@ -108,7 +109,7 @@
         return bucket
 
     def _forget(self, caller: str, bucket: _CallerBucket) -> None:
-        """Drops a bucket; callers without one count as empty at least until its last refill."""
+        """Records a dropped bucket: callers without one get no tokens for the time before its last refill."""
         self._spent_credit = max(self._spent_credit, bucket.base_credit)
 
     def burst(self, burst_s: float, now: float) -> None:
--- a/harepick/fleet/limits/limit_buckets.py
+++ b/harepick/fleet/limits/limit_buckets.py
@@ -206,19 +206,19 @@
             use.offered += 1
             if not use.has_token(caller_name, now):
                 without_token.append(use)
-        names = [use.counted_as(caller_name) for use in applying]
+        limit_keys = [use.counted_as(caller_name) for use in applying]
         for use in without_token:
             use.refused += 1
         if without_token:
-            return max(use.wait(caller_name) for use in without_token), names
+            return max(use.wait(caller_name) for use in without_token), limit_keys
         for use in applying:
             use.take_token(caller_name)
             use.passed += 1
-        return None, names
+        return None, limit_keys
 
-    def return_tokens(self, names: Iterable[str]) -> None:
+    def return_tokens(self, limit_keys: Iterable[str]) -> None:
         """Returns the tokens of a call that passed the limits and was then refused for another reason."""
-        for key in names:
+        for key in limit_keys:
             name, _, caller = key.partition("@")
             if use := self._uses.get(name):
                 if use.callers is not None:
--- a/harepick/fleet/limits/manager.py
+++ b/harepick/fleet/limits/manager.py
@@ -1,8 +1,8 @@
 """The manager of limits and verdicts on one instance.
 
-While this instance leads, it proposes splits of the limits, frees shares that instances have lost but may
-still be using (`owed`, see `shares.py`), and lifts expired verdicts. On every instance it reports demand to
-the leader and, if configured, issues verdicts on failed servers.
+While this instance leads, it proposes splits of the limits, frees shares that were taken from instances once
+these can no longer spend them (`owed`, see `shares.py`), and lifts expired verdicts. On every instance it
+reports demand to the leader and, if configured, issues verdicts on failed servers.
 """
 
 from __future__ import annotations
--- a/harepick/fleet/limits/policy.py
+++ b/harepick/fleet/limits/policy.py
@@ -18,7 +18,8 @@
 # callers with the highest demand, as named shares.
 BASE_SHARE = 0.25
 MAX_NAMED = 32  # callers of one limit that may hold named shares at once
-HOLDER_PREFERENCE = 1.25  # weight of callers that hold a named share, so that similar ones do not alternate
+# Factor on the demand of callers that hold a named share, so that callers of similar demand do not alternate.
+HOLDER_PREFERENCE = 1.25
 RESERVE = 0.1  # part of a budget that is split evenly over the live instances
 MIN_CHANGE = 0.04  # part of a budget; smaller changes do not justify a log entry
 
@@ -112,8 +113,8 @@
 def steps(shares: Shares, budgets: Mapping[str, float], fleet_state: LimitFleetState) -> list[LimitCommand]:
     """All commands that are due, at most one per limit, so that they do not affect each other.
 
-    Releases and limits that were removed come first, then splits, the largest deviation first. `budgets`: the
-    configured budgets by key.
+    Releases, and splits that clear a removed limit, come first; then the other splits, the largest deviation
+    first. `budgets`: the configured budgets by key.
     """
     due: dict[str, LimitCommand] = {}
     for limit, allocation in shares.limits.items():
@@ -176,7 +177,7 @@
     missing: dict[str, float] = {}
     for name in target.keys() | allocation.shares.keys() | allocation.owed.keys():
         share, ceiling = target.get(name, 0.0), allocation.ceiling(name)
-        shares[name] = min(share, ceiling)  # up to its ceiling it may regain at once what was taken from it
+        shares[name] = min(share, ceiling)  # it may spend up to its ceiling anyway
         missing[name] = share - shares[name]
         free -= ceiling
     total = sum(missing.values())
--- a/harepick/fleet/limits/screen.py
+++ b/harepick/fleet/limits/screen.py
@@ -42,16 +42,16 @@
             self.detector.offered(called_number, self._clock())
         if not self.buckets and not self.gaps:
             return None
-        wait, names = self.buckets.take_tokens(called_number, class_name, source, self._clock())
+        wait, limit_keys = self.buckets.take_tokens(called_number, class_name, source, self._clock())
         if wait is not None:
             return wait
         if self.gaps:
             if (wait := self.gaps.retry_after(called_number, class_name, now, source)) is not None:
-                self.buckets.return_tokens(names)
+                self.buckets.return_tokens(limit_keys)
                 return wait
             self._on_passed(called_number, now)
-        for name in names:
-            self._on_admitted(name)
+        for key in limit_keys:
+            self._on_admitted(key)
         return None
 
     def record_outcome(self, called_number: str, succeeded: bool) -> None:
--- a/harepick/fleet/limits/verdicts.py
+++ b/harepick/fleet/limits/verdicts.py
@@ -9,7 +9,8 @@
 from msgspec import Struct, field
 
 FAILED, OVERLOADED, BLOCKED, GAPPED = "failed", "overloaded", "blocked", "gapped"
-KINDS = (FAILED, OVERLOADED, BLOCKED, GAPPED)  # of a server, a server, a network of callers, a called number
+# Their subjects: a server, a server, a network of callers, a called number.
+KINDS = (FAILED, OVERLOADED, BLOCKED, GAPPED)
 MAX_VERDICTS = 1_024  # in force at once
 MAX_TTL_S = 86_400.0
 MAX_REASON_LENGTH = 500  # characters of a verdict's reason
@@ -102,7 +103,7 @@
             self.version += 1
             return command.verdict, ""
         if command.kind not in KINDS or not command.subject:
-            return 0, f"no kind of verdict: {command.kind!r}"
+            return 0, f"unknown kind of verdict, or no subject: {command.kind!r}"
         if not 0 < command.ttl <= MAX_TTL_S:
             return 0, f"a verdict holds for up to {MAX_TTL_S:g} s: {command.ttl!r}"
         identity = (command.kind, command.subject)
--- a/harepick/fleet/maintenance/manager.py
+++ b/harepick/fleet/maintenance/manager.py
@@ -1,8 +1,8 @@
 """The maintenance manager of one instance.
 
 While this instance leads, it proposes the commands of the policy. On every instance it follows the order on
-its own controller: it hands leadership over and reports when it has no calls left. All commands carry the
-version that they were decided on (`orders.py`), so that a manager that is behind changes nothing.
+its own controller: it hands leadership over and reports when it has no calls left. The policy's commands
+carry the version of the orders that they were decided on, and are refused if that has changed (`orders.py`).
 """
 
 from __future__ import annotations
--- a/harepick/fleet/maintenance/policy.py
+++ b/harepick/fleet/maintenance/policy.py
@@ -91,7 +91,7 @@
     server: str, excluded: frozenset[str], settings: MaintenanceSettings, fleet_state: MaintenanceFleetState
 ) -> HoldReason | None:
     if server not in fleet_state.servers:
-        return HoldReason(f"{server} is not among the servers that the configuration has ready")
+        return HoldReason(f"{server} is not in the configuration, or is draining")
     if len(excluded) >= settings.max_out:
         return HoldReason(
             f"{_names_with_verb(excluded)} out or leaving, and max_out is {settings.max_out}",
--- a/harepick/fleet/membership/absences.py
+++ b/harepick/fleet/membership/absences.py
@@ -80,7 +80,7 @@
         """Applies a command. Raises `RefusedMemberStateError`, changing nothing."""
         if command.expect != self.version:
             raise RefusedMemberStateError(
-                f"decided on version {command.expect} of the roster, and it is {self.version}"
+                f"decided on version {command.expect} of the absent members, and it is {self.version}"
             )
         current = self._absent.get(command.instance)
         state_before = current.state if current else PRESENT
--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -78,7 +78,7 @@
     if name == fleet_state.name:
         return "it leads"
     if name in fleet_state.in_maintenance:
-        return "it is out for work"
+        return "it is under a maintenance order"
     if name not in fleet_state.members or not fleet_state.members[name].voter:
         return ""  # a learner does not count in any majority
     remaining_voters = fleet_state.voters - {name}
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -469,7 +469,7 @@
     assert [type(step) for step in found] == [ReleaseOwed, ReleaseOwed], "owed shares are released first"
 
 
-class RestlessReplica:
+class FakeLeader:
     """The parts of a replica that the manager uses: it leads, and its demand changes all the time."""
 
     def __init__(self) -> None:
@@ -504,7 +504,7 @@
 
 def test_a_verdict_is_lifted_in_time_although_splits_are_always_due() -> None:
     """The lift of a verdict must not wait for splits: with many limits, some split is always due."""
-    replica = RestlessReplica()
+    replica = FakeLeader()
     inputs = LimitInputs(0, (Limit("x", 90.0, prefixes=("+",)),), VerdictSettings(), frozenset(), 2.0)
     manager = LimitManager(replica, LimitBuckets(), lambda: inputs, Counters(), Log(fd=1))  # type: ignore[arg-type]
 
--- a/tests/test_maint_daemons.py
+++ b/tests/test_maint_daemons.py
@@ -133,7 +133,8 @@
             until(lambda d=daemon: d.events("store_adopted"), why="the configuration")  # type: ignore[misc]
         cluster.ask("maint", "request", "north")
         until(lambda: order_states(cluster) == {"server:north": "out"}, 15.0, "north out")
-        leader = cluster.leader()  # paused, because it might later execute a request that it received alone
+        # Paused too, as it could accept the requests below and commit them once the quorum is back.
+        leader = cluster.leader()
         remaining = next(daemon for daemon in cluster.daemons if daemon is not leader)
         others = [daemon for daemon in cluster.daemons if daemon is not remaining]
         for other in others:
