--- a/harepick/fleet/checks.py
+++ b/harepick/fleet/checks.py
@@ -92,7 +92,7 @@
                 subject = (
                     f"{event['server']} was sent something"
                     if event_name == "arrived"
-                    else f"{event.name} acted"
+                    else f"{event.name} sent a set-up"
                 )
                 why = (
                     f"{subject} under revision {event['revision']} "
@@ -320,8 +320,10 @@
             for since, until, version, out in ends:
                 if since < event.mono < until and event["orders"] < version:
                     stale_orders += 1
-                    why = f"{event.name} acted on version {event['orders']} of the orders"
-                    finding.add_violation("no_fresh_to_out", f"{why}, {version} was confirmed", out, event)
+                    why = f"{event.name} sent a set-up under version {event['orders']} of the orders"
+                    finding.add_violation(
+                        "no_fresh_to_out", f"{why} after {version} was confirmed", out, event
+                    )
     times_to_out.sort()
     finding.figures = {
         "fresh_calls_to_out_servers": fresh_calls,
@@ -358,8 +360,8 @@
 def handover(events: Sequence[Event], arguments: Mapping[str, Any]) -> Finding:
     """No caller that follows readiness is refused, or left without an answer, because a controller goes out.
 
-    From the `handover` event with which a controller closes, it is called by no caller whose last poll said
-    that it is ready.
+    From the `handover` event with which a controller closes until the one with which it serves again, every
+    look-up of a caller whose last poll said that the controller is ready is answered without an error.
     """
     finding = Finding()
     spans: dict[str, list[tuple[float, float, Event]]] = defaultdict(list)
@@ -383,7 +385,7 @@
                 continue
             refused += 1
             if event.fields.get("ready"):
-                why = f"a caller that {event['instance']} had told that it is ready was refused by it"
+                why = f"{event['instance']} did not serve a caller whose last poll said that it is ready"
                 finding.add_violation("handover", why, stage, event)
     finding.figures = {
         "handovers": len(handovers),
@@ -418,7 +420,9 @@
             settings = settings_by_index[indices[earlier - 1]]
             max_out = settings["max_out" if kind == "server" else "max_out_controllers"]
             if len(out[kind]) > max_out:
-                why = f"{event['machine']} left as number {len(out[kind])}, at most {max_out} may be out"
+                why = (
+                    f"with {event['machine']}, {len(out[kind])} are leaving or out, at most {max_out} may be"
+                )
                 finding.add_violation("within_plan", why, settings, event)
     finding.figures = {
         "moves_judged": judged,
--- a/harepick/fleet/load.py
+++ b/harepick/fleet/load.py
@@ -153,7 +153,7 @@
                         sent.rcode, sent.duration = data[3] & 15, time.monotonic() - sent.at
 
     def _record_expired(self, now: float) -> None:
-        """Records the look-ups whose answer time is over."""
+        """Records and removes the look-ups that were sent over `ANSWER_TIMEOUT_S` ago."""
         while self._open:
             query_id, sent = next(iter(self._open.items()))
             if now - sent.at <= ANSWER_TIMEOUT_S:
--- a/harepick/fleet/plot.py
+++ b/harepick/fleet/plot.py
@@ -87,7 +87,7 @@
         rows.append((what, since - report.start, until - report.start, "tab:orange"))
     for name, spans in downtimes(report.events).items():
         for since, until in spans:
-            rows.append((f"{name} away", since - report.start, min(end, until - report.start), "tab:red"))
+            rows.append((f"{name} down", since - report.start, min(end, until - report.start), "tab:red"))
     labels = sorted({what for what, *_ in rows})
     for what, since, until, colour in rows:
         axis.barh(labels.index(what), until - since, left=since, color=colour, height=0.6)
--- a/harepick/fleet/scenario.py
+++ b/harepick/fleet/scenario.py
@@ -1,9 +1,9 @@
 """Scenarios of the rig: read from TOML, and expanded into a timeline of steps by a seed.
 
 No I/O but for `read_scenario`. An invalid key is named in the error, and nothing is run. Times in a file are
-in seconds from when the fleet serves; a time may be a pair, between which the seed draws. The instances are
-named `a`, `b`, `c`, ..., the fake servers `s0`, `s1`, ...; the roles `leader`, `follower` and `any` are
-resolved when a step is due.
+in seconds from when the fleet serves; for a pair of times, the seed determines a time between the two. The
+instances are named `a`, `b`, `c`, ..., the fake servers `s0`, `s1`, ...; the roles `leader`, `follower` and
+`any` are resolved when a step is due.
 """
 
 from __future__ import annotations
--- a/harepick/fleet/supervisor.py
+++ b/harepick/fleet/supervisor.py
@@ -2,8 +2,8 @@
 
 Its protocol is JSON lines. Input: `{"start": NAME, "words": [...], "folder": F, "log": PATH}`,
 `{"signal": NAME, "number": N}`. Output: `{"started": NAME, "id": PID}`, `{"ended": NAME, "code": C}`. When
-its standard input ends, which the kernel ensures even if the rig is killed, it kills every process that it
-started by its id, stopped ones too, and waits for them.
+its standard input ends, which the kernel ensures even if the rig is killed, it kills all processes that it
+started, including those paused by a signal, and waits for them.
 
     python -m harepick.fleet.supervisor
 """
@@ -37,10 +37,9 @@
         os.set_blocking(wakeup_write, False)
         signal.set_wakeup_fd(wakeup_write)
         signal.signal(signal.SIGCHLD, lambda *_: None)
+        # Only the end of standard input ends the supervisor, not a signal from the terminal.
         for ignored in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
-            signal.signal(
-                ignored, signal.SIG_IGN
-            )  # only the end of standard input ends the supervisor, not the terminal's signals
+            signal.signal(ignored, signal.SIG_IGN)
         buffer = b""
         try:
             while True:
