--- a/harepick/fleet/membership/policy.py
+++ b/harepick/fleet/membership/policy.py
@@ -118,6 +118,7 @@
         if name in fleet_state.rejoining:
             return _set_state(absent, RETURNING, "it came back with its folder", absences, fleet_state)
         return None
+    # Returning: the instance is added as a learner, and is off the list once it is a voter again.
     if member is None:
         return Add(name, absent.address)
     if member.voter:
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -84,7 +84,7 @@
             assert shares.dump() == before
         known = shares.get("x")
         assert sum(known.ceiling(name) for name in "abcd") <= 100.0 * (1 + 1e-6)
-        for name in "abcd":  # what an instance may still believe to hold counts until its release
+        for name in "abcd":  # what was taken from an instance counts until its release
             if kind == "split":
                 assert known.ceiling(name) >= before.limits.get("x", known).ceiling(name) - 1e-9
     assert Shares(shares.dump()).dump() == shares.dump()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -168,7 +168,7 @@
 
 
 class MembershipLifecycle(RuleBasedStateMachine):
-    """Instances fail and return in any sequence, some are in maintenance, steps are lost: invariants."""
+    """Invariants under failures and returns of instances, maintenance and lost steps, in any sequence."""
 
     def __init__(self) -> None:
         super().__init__()
