--- a/harepick/core/engine.py
+++ b/harepick/core/engine.py
@@ -246,7 +246,7 @@
             self._counters.add("answers.closing")
             offer.caller.refused(0.0)
             return []
-        if self._calls.full:  # bounded memory: the caller is told to wait for the longest time
+        if self._calls.full:  # bounds the memory; the caller is told to wait as long as the settings allow
             self._counters.add("answers.no_room")
             offer.caller.refused(self._retry_advice(self._settings.max_advice))
             return []
@@ -257,7 +257,7 @@
         if self.screen:
             wait = self.screen.retry_after(offer.called_number, offer.class_name, now, offer.source)
             if wait is not None:
-                self._counters.add("answers.gapped")  # neither the controller nor a server sees it
+                self._counters.add("answers.gapped")  # neither the controller nor a server sees the call
                 advice = self._settings.max_advice
                 offer.caller.refused(min(wait, advice) if advice > 0 else wait)
                 return []
--- a/harepick/core/messages.py
+++ b/harepick/core/messages.py
@@ -86,9 +86,9 @@
 
 
 class SendPermission(Protocol):
-    """Tells whether this instance may accept calls and send set-ups, as by a lease of the store.
+    """Tells whether this instance may accept calls and send set-ups, for example by a lease of the store.
 
-    Checked right before each of them."""
+    Checked right before a call is accepted and right before a set-up is written."""
 
     def closed_for(self) -> float | None:
         """None if calls may start; else the seconds after which callers are told to try again."""
--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -45,8 +45,8 @@
 # Below this occupancy over Wt a server takes calls without tokens: calls hardly wait there.
 IDLE_OCCUPANCY = TARGET_OCCUPANCY / 4
 RECOVERED_RATE_SHARE = 0.97  # recovery ends when r has reached this share of rmax
-# A cold server is assumed to gain capacity linearly, by this share of what it lacks at its start until it is
-# warm: the real warm-up curve is unknown.
+# The real warm-up curve is unknown. The capacity of a cold server is assumed to rise linearly; by the time it
+# is warm, it has gained this share of what it lacked at its start.
 COLD_RAMP_SHARE = 0.5
 # Share of the cold limit that is used: other instances may see more than their share of the traffic.
 COLD_LIMIT_SHARE = 0.7
@@ -105,8 +105,8 @@
     def update(self, entry: interface.ServerEntry, now: float) -> None:
         # `number` is the destination number that the server serves; several servers may share one.
         self.number, self.size, self.started = entry.number, max(entry.size, EPSILON_S), entry.started
-        # When the first successor (a later server of the same number) is warm; infinity without one. This
-        # server will soon stop then and cut its calls.
+        # When the first successor (a later server of the same number) is warm; infinity without one. Soon
+        # after that time this server will stop and cut its calls.
         self.successor_warm_at = float("inf")
         self.gone = entry.state == "gone"
         if entry.state == "ready":
--- a/harepick/interface.py
+++ b/harepick/interface.py
@@ -84,7 +84,7 @@
     may_advise: bool = False  # callers can be told when to try again
     max_advice: float = 0.0  # longest such advice, in seconds
     marks_redials: bool = False  # `CallArrived.redial` is filled in
-    own_number: int = -1  # server number of the own exchange, to which no call is sent; -1: none
+    own_number: int = -1  # server number of the instance's own exchange, to which no call is sent; -1: none
     must_ask: bool = False  # the server list is sent to subscribers only
     ask_within: float = 10.0
     report_fields: tuple[str, ...] = ()  # names of the values in a server's report
--- a/harepick/net/callers.py
+++ b/harepick/net/callers.py
@@ -32,7 +32,8 @@
 SEND_TIMEOUT_S = 5.0  # a caller that reads nothing for this long is disconnected
 MAX_PENDING_RELEASES = 4_096  # releases kept for the next connection
 MAX_INVALID_MESSAGES = 16  # per connection; a client that repeats them is disconnected
-HANDSHAKE_SETTLE_S = 0.05  # for handshakes begun before new connections went to the successor to complete
+# Within this time the handshakes complete that began before new connections were directed to the successor.
+HANDSHAKE_SETTLE_S = 0.05
 MAX_UNCOUNTED_CONNECTIONS = 4  # accepted sockets that `ConnectionLimits` does not count yet
 MESSAGES_PER_TURN = 8  # handled before other tasks run: a flood must not block the event loop for 0.1 s
 
--- a/harepick/net/connection_limits.py
+++ b/harepick/net/connection_limits.py
@@ -32,7 +32,9 @@
 
     call: bytes
     data: bytes
-    kind: str  # answer, final, release or free; part of the counter's name
+    # answer (the call stands), final (any other final answer), release (of a standing call) or free (any
+    # other message); part of the counter's name
+    kind: str
     caller: Caller | None = None  # whom an answer is for, until it is known to be written
 
 
--- a/harepick/net/connection_pool.py
+++ b/harepick/net/connection_pool.py
@@ -4,7 +4,7 @@
 on a connection with nothing else open if there is one: a connection with a malformed or missing answer
 is closed, and every set-up open on it is lost. A standing call belongs to no connection, so a closed one is
 opened again at once to learn of the call's end. A server counts as dead only if it accepts no new
-connection: peers also reset connections of processes that live on."""
+connection: a connection may also be reset while the server process goes on running."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
 
     number: bytes  # the number called, for the BYE
     since: float  # when the call was answered
-    connection: ServerConnection  # of its set-up: its end is reported there, if that is still open
+    # Of the set-up. The server reports the end of the call there, if that connection is still open.
+    connection: ServerConnection
 
 
 class PoolOwner(Protocol):
--- a/harepick/net/server_connection.py
+++ b/harepick/net/server_connection.py
@@ -46,7 +46,7 @@
 # Errors that tell of a lack of resources in this process or machine.
 LOCAL_RESOURCE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 MAX_CANCELLED = 4_096  # cancelled set-ups whose answer may still come
-PARTIAL_MESSAGE_TIMEOUT_S = 0.25  # a message not completed in this time is taken for cut off
+PARTIAL_MESSAGE_TIMEOUT_S = 0.25  # a message not completed in this time is considered truncated
 QUIET_AFTER_S = 0.25  # with a set-up open, silence for this long may mean that the connection is dead
 # From decision to send; after a longer delay the sockets are read first, because no attempt may be sent 0.1 s
 # after its client left.
--- a/harepick/net/service.py
+++ b/harepick/net/service.py
@@ -127,7 +127,8 @@
                 old, settings=config.settings, open_cap=config.open_cap, idle_close=config.idle_close
             )
         self._config = replace(self._config, gaps=config.gaps)
-        in_use = self._config  # `known` and `seed` differ at every start
+        in_use = self._config
+        # A new `bus` is in use already; `known` and `seed` differ at every start.
         waiting = [
             key.name
             for key in fields(PlatformSettings)
@@ -209,11 +210,11 @@
             settings.classes, inbox, counters, log, max_connections=budget.callers
         )
         bus = self._bus = BusClient(config.bus, directory, inbox, servers, counters, log, config.seed)
-        where = config.listen
+        address = config.listen
         # SO_REUSEPORT: a successor listens beside this process during a handover
         # (docs/design/operating.md).
         listener = await anyio.create_tcp_listener(
-            local_host=where.host, local_port=where.port, reuse_port=True
+            local_host=address.host, local_port=address.port, reuse_port=True
         )
         closing = anyio.Event()
         async with listener, anyio.create_task_group() as tasks:
@@ -231,7 +232,7 @@
                 # Bounds the kernel memory that a client can occupy by sending without end.
                 each.extra(SocketAttribute.raw_socket).setsockopt(SOL_SOCKET, SO_RCVBUF, RECEIVE_BUFFER_BYTES)
                 tasks.start_soon(callers.listen, each, closing)
-            log.event("listening", front="platform", listen=str(where), offset=directory.offset)
+            log.event("listening", front="platform", listen=str(address), offset=directory.offset)
             self._serving = True
             task_status.started()
             await stop.wait()
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -319,10 +319,10 @@
         return None
     if isinstance(text, str) and text.startswith(":"):
         text = listen.rpartition(":")[0] + text
-    where = parse_address(text, "ops")
-    if ":" in where.host:
+    address = parse_address(text, "ops")
+    if ":" in address.host:
         raise SettingsError(f"setting ops is not an IPv4 address: {text!r}")
-    return where
+    return address
 
 
 # Configuration by an operator's file
@@ -519,11 +519,11 @@
     upstreams: list[Upstream] = []
     for index, row in enumerate(rows):
         try:
-            where = parse_address(_read_text(row, "address"), "address")
+            address = parse_address(_read_text(row, "address"), "address")
             draining = row.get("draining", False)
             if not isinstance(draining, bool):
                 raise SettingsError(f"setting draining is not true or false: {draining!r}")
-            upstream = Upstream(_read_text(row, "name"), where, draining)
+            upstream = Upstream(_read_text(row, "name"), address, draining)
             if any(other.name == upstream.name for other in upstreams):
                 raise SettingsError(f"setting name is used twice: {upstream.name!r}")
         except SettingsError as error:
--- a/harepick/simhost.py
+++ b/harepick/simhost.py
@@ -60,7 +60,7 @@
         self._events: dict[str, Callable[[list[Any]], interface.Event]] = {
             "Targets": self._server_list,
             "Ingress": self._call_arrived,
-            # The protocol has the last two values in the other order than `CallStands`.
+            # `CallStands` has the last two values of the message in the opposite order.
             "Flowing": lambda message: interface.CallStands(message[2], message[3], message[5], message[4]),
             "Settled": self._attempt_ended,
             "CancelledByClient": lambda message: interface.CallerLeft(message[2]),
@@ -176,19 +176,19 @@
     def _peer_note(self, message: list[Any]) -> interface.Event:
         return interface.PeerNote(message[2], base64.b64decode(message[3] or ""))
 
-    def _report(self, instance: int, usage: Any) -> Mapping[str, float]:
-        if not usage:
+    def _report(self, instance: int, values: Any) -> Mapping[str, float]:
+        if not values:
             return {}
-        if isinstance(usage, Mapping):
+        if isinstance(values, Mapping):
             return {
-                key: value for key, value in usage.items() if isinstance(value, int | float) and value >= 0
+                key: value for key, value in values.items() if isinstance(value, int | float) and value >= 0
             }
-        if usage and isinstance(usage[0], list):
-            return {key: value for key, value in usage if isinstance(value, int | float) and value >= 0}
+        if values and isinstance(values[0], list):
+            return {key: value for key, value in values if isinstance(value, int | float) and value >= 0}
         return {
             key: value
             # A report may be shorter than the configured fields.
-            for key, value in zip(self._report_fields[instance], usage, strict=False)
+            for key, value in zip(self._report_fields[instance], values, strict=False)
             if value is not None and value >= 0
         }
 
