--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,12 +11,12 @@
 
 @pytest.mark.parametrize("instances", [6, 300])
 @pytest.mark.parametrize("seed", [1, 900])
-def test_all_instances_together_keep_a_restarted_server_standing(instances: int, seed: int) -> None:
-    """Each instance sent one and a half calls at once to a restarted server, which collapsed."""
+def test_all_instances_together_do_not_overload_a_restarted_server(instances: int, seed: int) -> None:
+    """Regression: each instance sent one and a half calls at once to a restarted server, which collapsed."""
     config = settings(fronts=instances)
     servers, capacity = 3, 30.0  # calls a second of one server; the instances offer as much
-    gap = instances / (servers * capacity)
-    restart = 100.0 + max(20.0, 12 * gap)
+    call_interval = instances / (servers * capacity)  # seconds between two calls of one instance
+    restart = 100.0 + max(20.0, 12 * call_interval)
     sends: list[float] = []
     for number in range(instances):
         world = World(config, seed=seed + number)
@@ -27,20 +27,20 @@
             world.after(0.03)
             if world.sent_to(name):
                 world.stand(name)
-            world.after(gap - 0.03)
+            world.after(call_interval - 0.03)
             count += 1
         first_send = len(world.sends)
         world.servers(*entries(0, started=restart), kind=interface.ListKind.CHANGES)
         while world.now < restart + 4.0:  # every call asks for s0, three times as often as before
             world.call(0)
-            world.after(gap / 3)
+            world.after(call_interval / 3)
         sends += [sent for sent, _, server in world.sends[first_send:] if server == "s0"]
     sends.sort()
     worst = 0.0
     for index, start in enumerate(sends):
         count = sum(start <= sent < start + config.tip_after for sent in sends[index:])
-        present = capacity * config.cold_share  # the least that it can carry, as right after its start
-        worst = max(worst, count / (config.tip_multiple * present * config.tip_after))
+        cold_capacity = capacity * config.cold_share  # right after its start, when it can carry the least
+        worst = max(worst, count / (config.tip_multiple * cold_capacity * config.tip_after))
     assert 0.1 < worst <= 1.0
 
 
@@ -58,7 +58,7 @@
 
 
 def test_a_server_without_samples_is_not_taken_for_idle() -> None:
-    """Diverted and repeated calls went to servers that counted as idle only for lack of samples."""
+    """Regression: diverted and repeated calls went to servers that counted as idle for lack of samples."""
     world = low_rate_world()
     for number in range(12):
         world.call(number % 4)
@@ -86,20 +86,21 @@
 
 def test_redials_do_not_raise_the_arrival_rate() -> None:
     world = low_rate_world()
-    share = world.controller.arrival_rate
+    rate_before = world.controller.arrival_rate
     world.servers(*entries(0, 1, 2, 3, state="draining"))
     for number in range(40):
         name = f"again{number}"
         world.deadline[name] = world.now + 3.0
         world.feed(interface.CallArrived(name, 0, world.now + 3.0, "low", number=5))
         world.after(0.05)
-    assert world.controller.arrival_rate <= share
+    assert world.controller.arrival_rate <= rate_before
 
 
 def test_lost_answers_at_every_server_close_none_for_long() -> None:
-    """Time-outs at most servers were taken for load and faults: every instance throttled healthy servers."""
+    """Regression: time-outs at most servers were taken for load and faults, and every instance throttled
+    healthy servers."""
     world = low_rate_world()
-    standing = [
+    call_ends = [
         interface.AttemptEnded(f"c{number + 1}", 0, f"s{number % 4}", interface.Outcome.OK, 2.0, True)
         for number in range(8, 60)
     ]
@@ -108,13 +109,13 @@
         world.after(0.03)
         if number % 3 and (server := world.sent_to(name)):
             world.stand(name)
-            standing.append(
+            call_ends.append(
                 interface.AttemptEnded(
                     name, world.attempts_sent[name] - 1, server, interface.Outcome.OK, 2.0, True
                 )
             )
-        if len(standing) > 8:
-            world.feed(standing.pop(0))
+        if len(call_ends) > 8:
+            world.feed(call_ends.pop(0))
         world.after(0.22)
     refused = sum(isinstance(answer, interface.Refuse) for answer in world.answers.values())
     assert refused <= 12
@@ -135,7 +136,8 @@
 
 
 def test_a_server_without_free_lines_is_closed_only_when_it_recurs() -> None:
-    """Two servers without free lines showed no wait and attracted half of all sends of 235 instances."""
+    """Regression: two servers without free lines showed no wait and attracted half of all sends of 235
+    instances."""
     world, closed = low_rate_world(), []
     for _ in range(6):
         name = world.call(0)
@@ -148,7 +150,8 @@
 
 
 def test_gate_rate_recovers_sooner_while_no_wait_is_reported() -> None:
-    """After a congestion every instance kept r low for fifteen seconds although the servers were idle."""
+    """Regression: after a congestion every instance kept its gate rate low for fifteen seconds although the
+    servers were idle."""
     gains = []
     for wait in (0.0, 200.0):
         world = low_rate_world()
@@ -164,7 +167,8 @@
 
 
 def test_servers_that_have_gone_are_forgotten() -> None:
-    """Servers are replaced under new ids all day: every interval and route went through all of them."""
+    """Regression: servers are replaced under new ids all day, and every interval and every routing decision
+    went through all of them."""
     world = World()
     for number in range(40):
         world.servers(*entries(number), kind=interface.ListKind.CHANGES)
--- a/tests/test_engine_orders.py
+++ b/tests/test_engine_orders.py
@@ -31,7 +31,7 @@
 from tests.world import settings
 
 EVENTS = (
-    *("leaves", "answer", "copy", "full", "reset", "cancelled", "bye", "gone", "marked"),
+    *("send", "answer", "repeated_answer", "full", "reset", "cancelled", "bye", "gone", "marked"),
     *("drain s0", "drain s1", "delete s0", "died s0", "wait", "deadline", "closing"),
 )
 CALL_ID, PATIENCE_S = "c1", 4.0
@@ -118,7 +118,8 @@
         self.engine.process(messages)
         self.now += 0.005
 
-    def on_leaves(self) -> None:
+    def on_send(self) -> None:
+        """The placed attempts are written to their servers, if they still may be sent."""
         for attempt in self.waiting:
             if not attempt.may_send(self.now):
                 if not attempt.ended:
@@ -151,7 +152,7 @@
             self.messages.append(Answered(CALL_ID, attempt.number, server, b"answer"))
         self.open_attempts.clear()
 
-    def on_copy(self) -> None:
+    def on_repeated_answer(self) -> None:
         for server in self.stood:
             self.messages.append(Answered(CALL_ID, -1, server, b"answer"))
 
@@ -181,11 +182,11 @@
         self.gone = True
 
     def on_marked(self) -> None:
-        """The caller's end was read; its message still waits in the inbox."""
+        """The caller is marked as gone; the message that tells the core is not delivered before the end."""
         if not self.gone:
             self.gone = True
-            self.unheard = CallerGone(CALL_ID, self)
-            self.end_unheard = True
+            self.undelivered = CallerGone(CALL_ID, self)
+            self.has_undelivered = True
 
     def list_as(self, server: str, state: str) -> None:
         self.unavailable_states[server] = state
@@ -224,16 +225,16 @@
 
     # The end
 
-    end_unheard = False
-    unheard: CallerGone
+    has_undelivered = False
+    undelivered: CallerGone
 
     def finish(self) -> None:
         """All pending messages arrive, the deadline passes, and the program ends."""
-        if self.end_unheard:
-            self.messages.append(self.unheard)
+        if self.has_undelivered:
+            self.messages.append(self.undelivered)
         self.process_batch()
         self.on_deadline()
-        for event in ("leaves", "cancelled", "leaves", "cancelled"):
+        for event in ("send", "cancelled", "send", "cancelled"):
             self.run_event(event)
         if not self.finals and not self.gone:
             raise RuleError("no final answer")
@@ -259,7 +260,7 @@
 @pytest.mark.parametrize("cancelling", [True, False])
 def test_every_order_of_four_events_after_the_first_set_up_was_sent(cancelling: bool) -> None:
     for order in itertools.product(EVENTS, repeat=3):
-        run_order(("leaves", *order), cancelling)
+        run_order(("send", *order), cancelling)
 
 
 @pytest.mark.parametrize("first", ["gone", "marked", "drain s0", "delete s0", "died s0", "deadline"])
@@ -272,7 +273,7 @@
 def test_long_random_orders() -> None:
     for seed in range(3000):
         rng = random.Random(seed)
-        order = tuple(rng.choices((*EVENTS, *(["leaves"] * 6)), k=14))
+        order = tuple(rng.choices((*EVENTS, *(["send"] * 6)), k=14))
         run_order(order, cancelling=rng.random() < 0.7, seed=seed)
 
 
@@ -294,4 +295,4 @@
     with pytest.raises(RuleError):
         for order in itertools.product(EVENTS, repeat=2):
             run_order(order)
-            run_order(("leaves", *order))
+            run_order(("send", *order))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -164,7 +164,7 @@
 
 
 def test_a_failed_guard_ends_that_call_and_not_the_instance() -> None:
-    """A guard that raised ended the whole instance with all its calls."""
+    """Regression: a failed check raised an exception, which ended the whole instance with all its calls."""
     world = two_server_world()
     for index, change in enumerate(("release", "drained")):
         call = Call(interface.CallArrived(f"x{index}", 0, world.now + 3, "low"), LOW, world.now, 4)
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -49,9 +49,9 @@
     return pool, owner, connection
 
 
-async def test_silent_new_connection_is_no_sign_of_life() -> None:
-    """The kernel of a vanished machine may still accept connections. Taken for a sign of life, they
-    delayed the end of its calls by seconds, until the server list reported it."""
+async def test_silent_new_connection_does_not_count_as_activity() -> None:
+    """Regression: the kernel of a machine may accept connections after its processes have ended. Counted as
+    activity of the server, they delayed the end of its calls by seconds, until the list reported it."""
     pool, owner, _ = pool_with_standing_call()
     pool._connection_failed()
     pool.connection_opened(ServerConnection(pool))
@@ -61,7 +61,7 @@
     assert owner.counters["servers.died"] == 1 and not pool.standing
 
 
-async def test_message_between_two_failed_connections_is_a_sign_of_life() -> None:
+async def test_message_between_two_failed_connections_counts_as_activity() -> None:
     pool, owner, _ = pool_with_standing_call()
     pool._connection_failed()
     pool.last_heard = time.time()
@@ -70,8 +70,8 @@
     assert owner.counters["servers.died"] == 0 and pool.standing
 
 
-async def test_refusal_is_no_sign_of_life() -> None:
-    """An intermediary went on sending errors for a server whose machine had vanished with all its calls."""
+async def test_refusal_does_not_count_as_activity() -> None:
+    """An intermediary may go on sending errors for a server whose machine has failed with all its calls."""
     pool, owner, connection = pool_with_standing_call()
     pool._connection_failed()
     error = b"SIP/2.0 500 No\r\nCall-ID: c2\r\nCSeq: 1 INVITE\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_long_day.py
+++ b/tests/test_long_day.py
@@ -1,4 +1,4 @@
-"""The core and the directory keep no growing state of servers and calls that are over."""
+"""What the core and the directory keep of ended calls and removed servers does not grow."""
 
 from __future__ import annotations
 
@@ -67,11 +67,12 @@
     attempt = servers.placed[0]
     assert attempt.may_send(100.0)
     core.process([listed("s50", "gone")])
-    assert not attempt.may_send(100.0)  # the last check covers forgotten servers, too
+    assert not attempt.may_send(100.0)  # the check before a send also covers servers that are no longer kept
 
 
 def test_a_call_given_up_in_the_batch_of_its_next_attempt_leaves_nothing_open() -> None:
-    """The controller decided on an attempt of a call no longer in the table, which then stayed open."""
+    """Regression: the controller sent an attempt of a call that was no longer in the table. Its end was not
+    reported, and it stayed open in the controller's state of the server."""
     core, servers = engine()
     caller = IgnoringCaller()
     core.process([listed("s0"), listed("s1"), Offer("c1", "low", 0, None, 103.0, caller, b"")])
@@ -82,7 +83,8 @@
 
 
 def test_a_concurrency_limit_in_the_batch_of_a_call_does_not_free_its_place() -> None:
-    """Applied after the call, the limit freed a place that was just taken: one call too many."""
+    """Regression: a limit applied after a call of the same batch freed the place that the call had just
+    taken, and one call too many was sent."""
     core, servers = engine()
     calls = iter([Offer(f"c{number}", "low", 0, None, 103.0, IgnoringCaller(), b"") for number in range(4)])
     core.process([listed("s0"), ConcurrencyLimit("s0", 1.0)])
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -209,7 +209,7 @@
 
 
 def test_diverted_calls_do_not_overload_a_small_server() -> None:
-    """Regression: when a hung server was closed, all its traffic went to one of a sixth of its size."""
+    """Regression: when a hung server was closed, all its traffic went to a server of a sixth of its size."""
     world = World()
     world.servers(interface.ServerEntry("s0", 0, "ready", 6.0), interface.ServerEntry("s1", 1, "ready", 1.0))
     for number in range(70):
@@ -372,7 +372,7 @@
 
 
 def test_the_start_up_average_is_counted_in_intervals_whatever_the_aims() -> None:
-    """Regression: a start-up time of three seconds, eight intervals with aims of 1.5 s, held for all aims.
+    """Regression: the start-up time was three seconds (eight intervals with aims of 1.5 s) whatever the aims.
     With aims of 0.4 s an instance underestimated its own traffic until long after its start, and a server
     that had been closed once kept recovering."""
     short_aim = interface.CallClass("low", aim=0.4, give_up=3.0, worth=1.0)
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -100,14 +100,14 @@
         second_ops = free_port()
         with platform.run(GW_OPS=f"127.0.0.1:{second_ops}") as second:  # with the same listening address
             peers.until(lambda: second.ready(second_ops), why="the second ready")
-            stream = ThreadPoolExecutor(1).submit(answered_until, platform.port, time.monotonic() + 1.6)
+            counts = ThreadPoolExecutor(1).submit(answered_until, platform.port, time.monotonic() + 1.6)
             first.process.send_signal(signal.SIGTERM)
             peers.until(lambda: first.events("stopping"), why="the stop")
             assert not first.ready(platform.ops)
             crossing = old.call(time_limit_ms=3000)  # on a connection that the first process accepted
             peers.reply(server, peers.invite(server), 200, b"answer")
             assert old.final_answer(crossing).type == binary.ANSWER
-            served, rejected = stream.result(timeout=10)
+            served, rejected = counts.result(timeout=10)
             assert served > 20 and rejected == 0  # while the first one's listener was closed
             assert first.events("not_listening")
             peers.until(lambda: first.events("drained"), why="the end of the drain")
--- a/tests/test_setups.py
+++ b/tests/test_setups.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from harepick import interface as i
+from harepick import interface
 from harepick.net import binary
 from harepick.net.setups import (
     CAUSE_BAD_NUMBER,
@@ -14,7 +14,7 @@
     SetUpParser,
 )
 
-PARSER = SetUpParser((i.CallClass("a", aim=1.0, give_up=3.0, worth=1.0),))
+PARSER = SetUpParser((interface.CallClass("a", aim=1.0, give_up=3.0, worth=1.0),))
 
 
 def set_up(call: bytes = b"12345678", **changes: bytes | None) -> binary.Message:
--- a/tests/test_strangers.py
+++ b/tests/test_strangers.py
@@ -13,7 +13,7 @@
 
 
 def test_out_of_bounds_set_up_is_refused_alone() -> None:
-    """A time limit of 400 digits ended the program, and a zero call id made the server close its
+    """Regression: a time limit of 400 digits ended the program, and a zero call id made the server close its
     connection with every call open there."""
     platform = peers.Platform()
     with platform.run() as running:
