--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -19,7 +19,7 @@
 
 from harepick import interface
 
-INTERVALS_PER_AIM = 4  # interval T is the shortest aim over this: control must act within that aim
+INTERVALS_PER_AIM = 4  # interval T is the shortest aim divided by this: control must act within that aim
 MAX_OCCUPANCY = 0.80  # Pmax in the paper, its design level; the throttle u drops to 0 above it
 TARGET_OCCUPANCY = 0.60  # Pterm in the paper: occupancy to which the gate rate steers a closed server
 CLOSING_WAIT_SHARE = 0.3  # a wait of this share of the shortest aim is an occupancy of Pmax
@@ -27,14 +27,14 @@
 # its gate rate, and the delay from the closing until the gate applies.
 MONITOR_INTERVALS, CONTROL_INTERVALS, RATE_STEP_INTERVALS, GATE_DELAY_INTERVALS = 2, 3, 4, 2
 MIN_GATE_RATE_SHARE = 3 / 20  # rmin as a share of rmax
-# The send rate is averaged over this many intervals or the expected time of this many sends, whichever is
-# longer: with fewer sends, chance would look like a peak.
-SEND_RATE_INTERVALS = 8
-SEND_RATE_SENDS = 8
+# The answer rate is averaged over this many intervals or the expected time of this many calls, whichever is
+# longer: with fewer calls, chance would look like a peak.
+ANSWER_RATE_INTERVALS = 8
+ANSWER_RATE_CALLS = 8
 # The time step of r, and the lifetime of tokens, is Wt or the expected time of this many sends, whichever is
 # longer.
 RATE_STEP_SENDS = 1
-PEAK_RATE_WINDOW_S = 60.0  # rmax is the highest send rate within this time
+PEAK_RATE_WINDOW_S = 60.0  # rmax is the highest answer rate within this time, at least the fair rate
 # A class worth this multiple of the mean may pass the gate of a closed server on its first try.
 HIGH_WORTH_MULTIPLE = 2.0
 STARTUP_INTERVALS = 8  # after a start, the arrival rate is averaged over at least this many intervals
@@ -96,8 +96,8 @@
         self.open_attempts: dict[tuple[str, int], float] = {}  # (call, attempt) -> time sent, oldest first
         self.warm_at = 0.0
         self.logged_at = now - TRAFFIC_AVERAGE_S
-        self.rate_peaks: deque[tuple[float, float]] = deque()  # (time, send rate) while open, highest first
-        self.send_rate = 0.0  # calls that stand a second
+        self.rate_peaks: deque[tuple[float, float]] = deque()  # (time, answer rate) while open, highest first
+        self.answer_rate = 0.0  # calls answered here, so that they stand, per second
         self.stands_in_interval = 0
         self.update(entry, now)
         self.reset_estimates(now, initial_tokens)
@@ -294,7 +294,7 @@
         self.longest_give_up = max(item.give_up for item in self.classes.values())
 
     def avoided(self) -> set[str]:
-        """Listed servers that get no new calls: draining, gone, or closed by their occupancy."""
+        """Listed servers, not gone, that get no new calls: draining, or closed by their occupancy."""
         return {
             server.id
             for server in self.servers.values()
@@ -500,11 +500,11 @@
             server.fault_share *= 1.0 - 1.0 / FAULT_DECAY_INTERVALS
         fair_rate = self._fair_rate(server)
         if server.throttle:
-            window = max(SEND_RATE_INTERVALS * self.interval, SEND_RATE_SENDS / max(fair_rate, EPSILON_S))
-            server.send_rate += (server.stands_in_interval - server.send_rate * self.interval) / window
-            while server.rate_peaks and server.rate_peaks[-1][1] <= server.send_rate:
+            window = max(ANSWER_RATE_INTERVALS * self.interval, ANSWER_RATE_CALLS / max(fair_rate, EPSILON_S))
+            server.answer_rate += (server.stands_in_interval - server.answer_rate * self.interval) / window
+            while server.rate_peaks and server.rate_peaks[-1][1] <= server.answer_rate:
                 server.rate_peaks.pop()
-            server.rate_peaks.append((self.now, server.send_rate))
+            server.rate_peaks.append((self.now, server.answer_rate))
         server.stands_in_interval = 0
         while server.rate_peaks and server.rate_peaks[0][0] < self.now - PEAK_RATE_WINDOW_S:
             server.rate_peaks.popleft()
--- a/harepick/net/sip.py
+++ b/harepick/net/sip.py
@@ -80,13 +80,13 @@
             length = message.headers.get(b"content-length", b"")
             if not DIGITS.fullmatch(length):
                 raise SipError(f"invalid Content-Length {length[:20]!r}")
-            whole = end + len(HEADER_END) + int(length)
-            if whole > MAX_MESSAGE_BYTES:
-                raise SipError(f"message of {whole} bytes exceeds 16 KiB")
-            if len(buffer) < whole:
+            total = end + len(HEADER_END) + int(length)
+            if total > MAX_MESSAGE_BYTES:
+                raise SipError(f"message of {total} bytes exceeds 16 KiB")
+            if len(buffer) < total:
                 break
-            message.body = bytes(buffer[end + len(HEADER_END) : whole])
-            del buffer[:whole]
+            message.body = bytes(buffer[end + len(HEADER_END) : total])
+            del buffer[:total]
             _check_body_end(message.body, buffer)
             yield message
         self._buffer = buffer
@@ -110,8 +110,8 @@
 
 def _may_begin_message(data: bytearray) -> bool:
     """Whether `data` is empty or may be the start of a message."""
-    line, whole, _ = data.partition(b"\r\n")
-    if whole:
+    line, line_end, _ = data.partition(b"\r\n")
+    if line_end:
         return bool(STATUS_LINE.fullmatch(line) or REQUEST_LINE.fullmatch(line))
     return not line or bool(PARTIAL_FIRST_LINE.fullmatch(line))
 
--- a/harepick/settings.py
+++ b/harepick/settings.py
@@ -93,7 +93,7 @@
     maintenance: Any = None  # `harepick.fleet.maintenance.policy.MaintenanceSettings`; None: its defaults
     limits: tuple[Any, ...] = ()  # `harepick.fleet.limits.limit_buckets.Limit`s of `[[limit]]`
     verdicts: Any = None  # `harepick.fleet.limits.settings.VerdictSettings`; None: its defaults
-    membership: Any = None  # `MembershipSettings` of `harepick.fleet.membership.policy`; None: no drops
+    membership: Any = None  # `harepick.fleet.membership.policy.MembershipSettings`; None: drops no member
     autogap: Any = None  # `harepick.gapping.auto_gaps.AutoGapSettings`; None: no automatic gaps
 
 
@@ -292,22 +292,22 @@
         raise SettingsError(f"setting settings is malformed: {error}") from None
 
 
-def _read_gaps(rows: Any, where: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
+def _read_gaps(rows: Any, key: str, plan: str, call_class: str = "") -> tuple[Any, ...]:
     """Reads number gaps; the gapping package is imported only if there are any.
 
-    With `call_class`, the only class of the front, the rows are also checked against that class, except for
-    their times."""
+    Errors name the rows by `key`. With `call_class`, the only class of the front, the rows are also checked
+    against that class, except for their times."""
     if not rows:
         return ()
     from harepick.gapping.config import read_rows
     from harepick.gapping.gaps import GapError
 
     try:
-        read = read_rows(rows, where, plan)
+        read = read_rows(rows, key, plan)
         if call_class:
             from harepick.gapping.screen import check_rows
 
-            check_rows(read, where, [call_class])
+            check_rows(read, key, [call_class])
         return read
     except GapError as error:
         raise SettingsError(f"setting {error}") from None
@@ -382,10 +382,10 @@
     table = _parse_store_config(text)
     if "store" in table:
         raise SettingsError("setting store belongs in the instance's own file")
-    front = _read_table(table, "enum")
-    for key in sorted(INSTANCE_KEYS & front.keys()):
+    enum_table = _read_table(table, "enum")
+    for key in sorted(INSTANCE_KEYS & enum_table.keys()):
         raise SettingsError(f"setting enum.{key} belongs in the instance's own file")
-    return read_enum({**table, "enum": {**front, **(own or {})}})
+    return read_enum({**table, "enum": {**enum_table, **(own or {})}})
 
 
 def read_enum(table: Mapping[str, Any]) -> EnumSettings:
@@ -400,10 +400,10 @@
                 raise SettingsError(f"setting {section} is not a table: {row!r}")
             for key in sorted(row.keys() - KNOWN_KEYS[section]):
                 raise SettingsError(f"setting {section}.{key} is not known")
-    front = _read_table(table, "enum")
+    enum_table = _read_table(table, "enum")
     deadline = _read_number(table, "enum.deadline_ms", 100, 2000) / 1000.0
     aim = _read_number(table, "class.aim_ms", 10, 1000) / 1000.0
-    class_name = _read_text(front, "class", "look-up")
+    class_name = _read_text(enum_table, "class", "look-up")
     settings = interface.Settings(
         me=0,
         fronts=1,
@@ -430,11 +430,11 @@
         max_advice=_read_number(table, "rules.stay_away_ms", 0, 2000) / 1000.0,
     )
     seed = _read_number(table, "enum.seed", 0, -1)
-    listen = parse_address(_read_text(front, "listen", "127.0.0.1:5353"), "enum.listen")
+    listen = parse_address(_read_text(enum_table, "listen", "127.0.0.1:5353"), "enum.listen")
     upstreams = _read_upstreams(table.get("upstream"))
     return EnumSettings(
         listen=listen,
-        suffix=_read_suffix(_read_text(front, "suffix", "e164.arpa.")),
+        suffix=_read_suffix(_read_text(enum_table, "suffix", "e164.arpa.")),
         call_class=class_name,
         deadline=deadline,
         edns_size=int(_read_number(table, "enum.edns_size", 512, 1232)),
