--- a/harepick/interface.py
+++ b/harepick/interface.py
@@ -21,7 +21,7 @@
     UNREACHED = "unreached"  # no connection: the attempt took no effect
     RESET = "reset"  # the connection broke; it may have taken effect
     CANCELLED = "cancelled"  # cancelled by us; it may have taken effect
-    MOOT = "moot"  # never sent
+    MOOT = "moot"  # never sent, or declined with SIP status 480: the attempt took no effect
 
 
 class ListKind(Enum):
@@ -148,7 +148,8 @@
     outcome: Outcome
     elapsed: float
     final: bool  # the call is over: no further attempt and no answer
-    cause: int = 0  # FULL: 1 no free line, 3 full processor; ERROR: 4 all lines of the number busy
+    # FULL: 1 no free line, 3 full processor; ERROR: 4 all lines of the number busy; others are not used
+    cause: int = 0
     told_wait: float = 0.0  # seconds of wait that a full processor reported
     report: Mapping[str, float] = field(default_factory=dict)
 
