--- a/harepick/store/client.py
+++ b/harepick/store/client.py
@@ -169,6 +169,7 @@
                     raise last_error
                 if response.leader:
                     hints.append(parse_address(response.leader, "leader"))
+                    # Without a pause, except after every fourth attempt and once there were 20.
                     if attempts < 20:
                         attempts += 1
                         if attempts % 4:
--- a/harepick/store/disk/frames.py
+++ b/harepick/store/disk/frames.py
@@ -7,7 +7,8 @@
 Integers are little-endian. Each record has a checksum of its own. The checksums of headers and frames start
 from a seed that is particular to the folder, so that stored text can't be made to look like a frame. Frames
 are numbered without gaps across all segments. A mark is a frame without payload that is written after the
-fsync of a data frame and bears its number; the mark itself is not synced.
+fsync of a data frame and bears its number: it shows at the start that this frame was durable. The mark itself
+is not synced.
 """
 
 from __future__ import annotations
--- a/harepick/store/disk/storage.py
+++ b/harepick/store/disk/storage.py
@@ -186,7 +186,7 @@
         return recovered
 
     def _sync_recovered(self) -> None:
-        """Syncs what was read, as a killed process may have left it unsynced and it counts from now on."""
+        """Syncs what was read and is relied on from now on: a killed process may have left it unsynced."""
         if self._highest_index:
             newest = self._files.append(max(self._highest_index))
             newest.sync()
@@ -224,7 +224,7 @@
         if entries and entries[0].index > base + 1:
             raise StorageError(f"{self._files}: entries {base + 1} to {entries[0].index - 1} are missing")
         if recovered.hard.term < max([entry.term for entry in entries], default=0):
-            raise StorageError(f"{self._files}: there are entries of a later term than the log tells")
+            raise StorageError(f"{self._files}: there are entries of a later term than the recorded term")
         at_base = next((entry for entry in entries if entry.index == base), None)
         if entries and (entries[-1].index < base or (at_base and at_base.term != recovered.snapshot.term)):
             # The crash came after the snapshot was installed and before the reset was logged.
--- a/harepick/store/leases.py
+++ b/harepick/store/leases.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, length: float = LEASE_S, first: int = 0) -> None:
-        """`length` is in seconds; requests are numbered from `first` on.
+        """`length` is in seconds; requests are numbered from `first + 1` on.
 
         Each process must draw a new `first`: a grant that an earlier process requested may still be in
         flight, and must not be taken for an answer to one of this process's requests.
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -2,7 +2,7 @@
 
 Its hosts are `replica.py` in production and the simulation in `benchmarks/store_model.py`. A host calls
 `tick`, `receive` and the requests with its own time in seconds, then `poll`, and carries out the result: it
-sends the messages, delivers the answers, and makes `writes()` durable.
+sends the messages, delivers the answers, and makes the result of `take_writes` durable.
 """
 
 from __future__ import annotations
@@ -164,8 +164,10 @@
         self._snapshot_in_progress = False
         # log index -> the request that waits for its entry
         self._pending_by_index: dict[int, _PendingChange | _PendingMembership] = {}
-        self._unacknowledged: list[tuple[int, Waiter, Result]] = []  # applied; index to be adopted first
-        self._pending_reads: list[tuple[int, _ClientRead]] = []  # confirmed; index to be applied first
+        # Applied changes: index that all lease holders have to adopt before the answer, waiter, result.
+        self._unacknowledged: list[tuple[int, Waiter, Result]] = []
+        # Confirmed reads: index that has to be applied before the answer, read.
+        self._pending_reads: list[tuple[int, _ClientRead]] = []
         self._leading_term = 0  # the term for which `grants` has started to lead; 0: not leading
         self._next_lease_request = now
         self._outbox: list[tuple[str, PeerMessage]] = []
@@ -216,9 +218,10 @@
         self._track_leadership(now)
 
     def change(self, envelope: Envelope, waiter: Waiter) -> None:
-        """Proposes a change, answered once it is committed, applied here and adopted by all lease holders.
+        """Proposes a change, answered once it is committed and applied here.
 
-        Raises `NotLeaderError` and `BusyError`.
+        `Done` is answered only once all lease holders have adopted the change. Raises `NotLeaderError` and
+        `BusyError`.
         """
         if len(self._pending_by_index) + len(self._unacknowledged) >= MAX_PENDING_CHANGES:
             raise BusyError("too many changes wait")
@@ -339,7 +342,7 @@
             self.raft.read(_LeaseRead(sender, number))
 
     def _track_leadership(self, now: float) -> None:
-        """Starts or stops leading as the consensus core does, and fails the requests that this loses."""
+        """Starts or stops leading as the consensus core does, and fails the requests that are lost by it."""
         if self.raft.role is Role.LEADER:
             if self._leading_term != self.raft.term:
                 self._fail_pending()
@@ -350,7 +353,8 @@
             self._leading_term = 0
             self.grants.become_follower()
             self._restore_snapshot()
-            self._apply_committed()  # a removed leader steps down on committing its removal: that is answered
+            # A removed leader steps down on committing its removal: the request for it is still answered.
+            self._apply_committed()
             self._fail_pending()
             self._next_lease_request = now
         for token in self.raft.dropped_reads:
--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -124,7 +124,9 @@
             return Response(request.id, error="unknown_method", text=f"no method {request.method!r}")
         wait = request.arguments.get("wait", DEFAULT_WAIT_S)
         if isinstance(wait, bool) or not isinstance(wait, int | float) or not 0 < wait <= MAX_WAIT_S:
-            return Response(request.id, error="bad_request", text=f"argument wait makes no sense: {wait!r}")
+            return Response(
+                request.id, error="bad_request", text=f"argument wait is no number in range: {wait!r}"
+            )
         try:
             if method is None:
                 assert extra_method
@@ -160,7 +162,7 @@
         revision = state_machine.latest if number is None else state_machine.revision(number)
         if revision is None:
             raise OutcomeError(
-                "no_revision", f"revision {number} is not kept" if number else "there is none yet"
+                "no_revision", f"revision {number} is not kept" if number else "there is no revision yet"
             )
         return revision_row(revision)
 
@@ -275,7 +277,8 @@
             answer = await self._replica.change(Envelope("", 0, command), wait)
             if not isinstance(answer, StepApplied):
                 raise OutcomeError(
-                    "conflict", f"the roster changed meanwhile ({answer}): remove {name} again"
+                    "conflict",
+                    f"the list of absent members changed meanwhile ({answer}): remove {name} again",
                 )
             result = result or {"index": answer.index}
         return result
--- a/harepick/store/raft/core.py
+++ b/harepick/store/raft/core.py
@@ -1,13 +1,13 @@
 """The Raft consensus core of one replica.
 
-Its inputs are `step`, `tick` and `propose`; its outputs are messages, disk writes and committed entries. It
-is pure: the host counts time in ticks, and randomness comes from the given `Random`. After each batch of
-inputs the host
+Its inputs are `step`, `tick` and requests such as `propose`; its outputs are messages, disk writes and
+committed entries. It is pure: the host counts time in ticks, and randomness comes from the given `Random`.
+After each batch of inputs the host
 
 - calls `flush` and sends the messages in `outbox` at once,
-- makes `writes()` durable, one after another, and calls `written` only then, which adds the messages that had
-  to wait for the disk to `outbox`,
-- applies the entries of `committed()` in order.
+- makes the result of `take_writes` durable, one write after another, and calls `written` only then, which
+  adds the messages that had to wait for the disk to `outbox`,
+- applies the entries that `committed` returns, in order.
 
 Source: Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 """
@@ -71,7 +71,7 @@
     """The operation needs the leader; `leader` is its name, or empty if it is not known."""
 
     def __init__(self, leader: str) -> None:
-        super().__init__(f"not the leader; {leader or 'none'} is")
+        super().__init__(f"not the leader; the leader is {leader or 'not known'}")
         self.leader = leader
 
 
@@ -132,7 +132,7 @@
         self._votes: dict[str, bool] = {}
         self._pending_reads: list[tuple[int, int, object]] = []  # read round, index and token
         self._new_reads: list[object] = []
-        self._commit_advanced = False  # since the last broadcast
+        self._commit_advanced = False  # since the last `flush`
         self._forced_campaign = False
         self._transfer_target = ""
         self._transfer_ticks = 0
@@ -509,7 +509,7 @@
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
         if self._transfer_target:
-            raise BusyError(f"leadership goes to {self._transfer_target}")
+            raise BusyError(f"leadership is being transferred to {self._transfer_target}")
         if self.log.last_index - self.commit >= MAX_PENDING_ENTRIES:
             raise BusyError("too many entries wait to be committed")
         if self.log.size(self.commit + 1, self.log.last_index) + len(data) > MAX_PENDING_BYTES:
@@ -723,7 +723,7 @@
         )
         confirmed = read_rounds[len(read_rounds) - self.membership.quorum]
         self.confirmed_reads += [
-            (token, index) for at, index, token in self._pending_reads if at <= confirmed
+            (token, index) for read_round, index, token in self._pending_reads if read_round <= confirmed
         ]
         self._pending_reads = [row for row in self._pending_reads if row[0] > confirmed]
 
--- a/harepick/store/raft/messages.py
+++ b/harepick/store/raft/messages.py
@@ -113,7 +113,7 @@
     term: int
     last_index: int
     last_term: int
-    forced: bool = False  # the leader handed over: granted although a leader is known
+    forced: bool = False  # the leader handed over: not ignored although a leader is known
 
 
 class RequestVoteReply(Struct, frozen=True, tag="vr", array_like=True):
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -116,7 +116,7 @@
         self._disk_job_added = anyio.Event()
         self._writing = False
         self._snapshot_waiters: list[tuple[int, _Waiter]] = []  # (index the snapshot must reach, waiter)
-        self._state_changed = anyio.Event()  # set on a new revision, role, membership or applied entry
+        self._state_changed = anyio.Event()  # set and replaced by `notify`
         self._last_state: tuple[object, ...] = ()
         self._last_members: object = None
         # Non-member that tried to connect with its pinned folder -> time of its last attempt, by `clock`.
@@ -145,7 +145,7 @@
         for key in ("cluster", "replica"):
             configured, stored = getattr(self.settings, key), getattr(recovered.identity, key)
             if configured != stored:
-                raise StorageError(f"setting store.{key} is {configured!r}; the folder is {stored!r}'s")
+                raise StorageError(f"setting store.{key} is {configured!r}; the folder belongs to {stored!r}")
         for note in recovered.notes:
             self._counters.add("store.notes")
             self._log.event("store_recovered", note=note)
@@ -238,10 +238,10 @@
         self._track_state()
 
     def _answer_snapshot_waiters(self) -> None:
-        """Answers requests whose snapshot is durable; one that a leader sent counts once it is restored."""
+        """Answers requests whose snapshot is durable; a leader's snapshot counts once it is restored here."""
         index = self.node.raft.snapshot.index
         if self.node.stopped:
-            stopped_error = StoreUnavailableError(f"this replica has stepped aside: {self.node.stopped}")
+            stopped_error = StoreUnavailableError(f"this replica has stopped: {self.node.stopped}")
             for _, waiter in self._snapshot_waiters:
                 waiter.set(stopped_error)
             self._snapshot_waiters.clear()
@@ -274,12 +274,12 @@
             self.notify()
 
     def notify(self) -> None:
-        """Wakes all tasks that wait in `wait_for_change`."""
+        """Wakes `wait_for_change`: the revision, role, members, orders, shares or verdicts have changed."""
         self._state_changed.set()
         self._state_changed = anyio.Event()
 
     async def wait_for_change(self, timeout: float) -> None:
-        """Returns after the next change of revision, role or state, or after `timeout` seconds."""
+        """Returns after the next change that `notify` reports, or after `timeout` seconds."""
         with anyio.move_on_after(timeout):
             await self._state_changed.wait()
 
@@ -317,7 +317,7 @@
         Raises `StoreUnavailableError`, and whatever `work` raises.
         """
         if self.node.stopped:
-            raise StoreUnavailableError(f"this replica has stepped aside: {self.node.stopped}")
+            raise StoreUnavailableError(f"this replica has stopped: {self.node.stopped}")
         waiter = _Waiter()
 
         def run_work() -> None:
@@ -342,7 +342,7 @@
     async def read(self, timeout: float) -> None:
         """Returns once the local state is no older than this call (a linearizable read).
 
-        Raises `NotLeaderError`, `StoreUnavailableError`.
+        Raises `NotLeaderError`, `BusyError`, `StoreUnavailableError`.
         """
         if isinstance(await self._submit(self.node.read, timeout), LeadershipLost):
             raise NotLeaderError(self.node.raft.leader)
@@ -380,7 +380,7 @@
 
         def work(waiter: _Waiter) -> None:
             if len(self._snapshot_waiters) >= MAX_SNAPSHOT_WAITERS:
-                raise StoreUnavailableError("too many wait for a snapshot")
+                raise StoreUnavailableError("too many requests wait for a snapshot")
             self._snapshot_waiters.append((self.node.state_machine.applied, waiter))
 
         answer = await self._submit(work, timeout)
--- a/harepick/store/service.py
+++ b/harepick/store/service.py
@@ -172,7 +172,7 @@
     def record_sent(self, attempt: Attempt) -> None:
         """Records an attempt in the history, if there is one."""
         if self._history:
-            # The time of the last check: an order acknowledged after it may have crossed the bytes sent.
+            # The time of the last check: an order acknowledged after it came too late to stop this attempt.
             checked_at = time.monotonic() - (time.time() - attempt.checked_at)
             self._history.note(
                 "left",
--- a/harepick/store/state_machine.py
+++ b/harepick/store/state_machine.py
@@ -117,7 +117,7 @@
 
 
 class Done(Struct, frozen=True, tag="done"):
-    """The command took effect; `revision` is also the number of an issued verdict."""
+    """The command took effect; `revision` is the latest revision, or the number of the issued verdict."""
 
     revision: int
     index: int
@@ -225,9 +225,9 @@
         self._history_chars = 0  # size of their texts
         self._sessions: OrderedDict[str, Session] = OrderedDict()
         self.views: dict[str, PoolView] = {}
-        self.slots = SlotAllocator()  # of the gaps' slots, to instances
+        self.slots = SlotAllocator()  # which instance each slot of a gap belongs to
         self.orders = Orders()  # maintenance orders
-        self.shares = Shares()  # of limits, by instance
+        self.shares = Shares()  # each instance's share of each limit
         self.verdicts = Verdicts()
         self.absences = AbsenceList()
 
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -87,9 +87,8 @@
         self._tasks: TaskGroup | None = None
         self._is_member: Callable[[str], bool] = lambda name: True
         self._knows_members = False
-        self.on_rejoin_attempt: Callable[[str], None] = lambda name: (
-            None
-        )  # a non-member with its pinned folder
+        # Called with the name of a non-member that tries to connect with its pinned folder.
+        self.on_rejoin_attempt: Callable[[str], None] = lambda name: None
         self.serve_tool: ToolHandler | None = None
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
--- a/tests/test_store_replica.py
+++ b/tests/test_store_replica.py
@@ -96,7 +96,7 @@
             await wait_until(replica.may_act)
             await put_revision(replica, 1)
             monkeypatch.setattr(replica._storage, "save", fail_with_full_disk)
-            with pytest.raises(StoreUnavailableError, match="stepped aside"):
+            with pytest.raises(StoreUnavailableError, match="this replica has stopped"):
                 await replica.snapshot(10.0)
             tasks.cancel_scope.cancel()
 
