--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -456,7 +456,7 @@
         assert "no member" in welcome(Hello("peer", store.name, "r9", "f")).error
         assert "this one" in welcome(Hello("peer", store.name, "r0", "f")).error
         assert "version 9" in welcome(Hello("peer", store.name, "r9", "f", 9)).error
-        assert "role" in welcome(Hello("lord", store.name, "r9", "f")).error
+        assert "role" in welcome(Hello("observer", store.name, "r9", "f")).error
         store.ask("config", "set", write_config(tmp_path, config_text(("south", upstream.port))))
         wait_until_serving(daemon)
         counters = daemon.counters()
@@ -486,7 +486,7 @@
             for _ in range(3):
                 store.ask("config", "set", write_config(tmp_path, config_text(("south", upstream.port))))
         for method, arguments, code in (
-            ("fly", {}, "unknown_method"),
+            ("no_such_method", {}, "unknown_method"),
             ("set", {"text": 3}, "bad_request"),
             ("set", {}, "bad_request"),
             ("get", {"revision": -1}, "bad_request"),
--- a/tests/test_store_model.py
+++ b/tests/test_store_model.py
@@ -20,7 +20,7 @@
     assert world.stats["acks"] > 20 and world.stats["acts"] > 200 and world.stats["leaders"] > 1
 
 
-def found(world: type[World], seeds: int = 60) -> str:
+def violation_message(world: type[World], seeds: int = 60) -> str:
     """The message of the first seed that detects a violation."""
     for seed in range(seeds):
         try:
@@ -119,7 +119,7 @@
     ],
 )
 def test_a_broken_rule_is_detected(world: type[World]) -> None:
-    assert found(world)
+    assert violation_message(world)
 
 
 def test_a_violation_is_reproduced_from_its_seed() -> None:
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("role", ["leader", "follower"])
-@pytest.mark.parametrize("loss", ["killed", "power", "paused", "deaf", "mute"])
+@pytest.mark.parametrize("loss", ["killed", "power", "paused", "receives_nothing", "sends_nothing"])
 def test_a_change_survives_the_loss_of_one_replica_at_any_step(loss: str, role: str) -> None:
     """The change takes effect exactly once and within 6 s, whichever step the fault falls on.
 
@@ -200,7 +200,7 @@
             world._pause(host)
         else:
             for other in world.hosts:
-                world.cuts.add((other, host.name) if loss == "deaf" else (host.name, other))
+                world.cuts.add((other, host.name) if loss == "receives_nothing" else (host.name, other))
         world.run_until(world.now + 6.0)
         assert len(set(map(str, answers))) == 1, (step, answers)
         world.cuts.clear()
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -204,8 +204,8 @@
     for _ in range(data.draw(st.integers(1, 25))):
         now += data.draw(st.floats(0.0, 0.5))
         n = data.draw(st.integers(0, 2))
-        what = data.draw(st.sampled_from(("ask", "adopt")))
-        if what == "ask":
+        action = data.draw(st.sampled_from(("request", "adopt")))
+        if action == "request":
             number = leases[n].request(now * rates[n])
             now += data.draw(st.floats(0.0, 0.3))
             grants.record_lease(f"{n}", now)
@@ -277,7 +277,7 @@
 
 @EXAMPLES
 @given(st.binary(max_size=80))
-def test_bytes_of_no_sense_are_an_error_of_the_wire_alone(data: bytes) -> None:
+def test_malformed_bytes_raise_wire_errors_only(data: bytes) -> None:
     for reader in (wire.hellos.read, wire.requests.read, wire.responses.read, wire.decode_peer_message):
         with suppress(wire.WireError):
             reader(data)
--- a/tests/test_store_raft.py
+++ b/tests/test_store_raft.py
@@ -40,7 +40,7 @@
         return self.rafts[name]
 
     def settle(self, rounds: int = 60) -> None:
-        """Writes, delivers and applies, so many rounds, at and between the replicas that are not down."""
+        """Runs rounds of disk writes, applying and message delivery on the replicas that are not down."""
         for _ in range(rounds):
             for name, raft in list(self.rafts.items()):
                 if name in self.down:
