--- a/harepick/store/disk/storage.py
+++ b/harepick/store/disk/storage.py
@@ -118,7 +118,7 @@
     if "identity" in existing:
         raise StorageError(f"folder {files} has a replica already")
     for name in existing:
-        if name != "snap-0" and name != "peers":  # left by an interrupted `create`
+        if name != "snap-0" and name != "peers":  # an interrupted `create` leaves `snap-0`
             raise StorageError(f"folder {files} is not empty: {name}")
     write_atomically(files, "snap-0", pack_snapshot(Snapshot(0, 0, membership, b"")))
     # Last, because it makes the folder valid.
@@ -136,7 +136,7 @@
 
 
 class Storage:
-    """An open folder. The methods block and may be called by one thread at a time."""
+    """An open folder. The methods block. One thread at a time may call them, and another one `pin`."""
 
     def __init__(self, files: Files, segment_bytes: int = SEGMENT_BYTES) -> None:
         self._files = files
--- a/harepick/store/node.py
+++ b/harepick/store/node.py
@@ -157,7 +157,7 @@
         self._on_revision, self._on_state_changed = on_revision, on_state_changed
         self._revision = 0  # last adopted
         self._followed_versions = (0, 0, 0)  # of the orders, shares and verdicts passed to `on_state_changed`
-        self.demand: Mapping[str, float] = {}  # limit -> calls per second offered here
+        self.demand: Mapping[str, float] = {}  # set by the host: limit -> calls per second offered here
         self._sent_demand = False  # whether the last demand sent was not empty
         self.demands: dict[str, tuple[float, Mapping[str, float]]] = {}  # instance -> time received, demand
         self._snapshot_every = snapshot_every
--- a/harepick/store/replica.py
+++ b/harepick/store/replica.py
@@ -1,7 +1,8 @@
 """Runs one replica: feeds its node with inputs, writes to its disk and connects it to the transport.
 
-A single task owns the node; everything else reaches it through one queue. Disk work runs in a worker thread,
-one job at a time, so that it never blocks the event loop; the node batches what arrives during a write.
+A single task runs the node, and inputs of other tasks reach it through one queue. Writes of the log and of
+snapshots run in a worker thread, one job at a time, so that they never block the event loop; the node batches
+what arrives during a write.
 """
 
 from __future__ import annotations
@@ -198,7 +199,7 @@
             self._storage.close()
 
     async def _run_node(self) -> None:
-        """Feeds the node with inputs and ticks; the only task that calls it."""
+        """Feeds the node with inputs and ticks; no other task does."""
         next_tick = clock()
         while True:
             now = clock()
@@ -312,7 +313,7 @@
         self.rejoin_attempts[name] = clock()  # at most one entry per replica that was ever a member
 
     async def _submit(self, work: Callable[[_Waiter], Any], timeout: float) -> Answer:
-        """Runs `work` in the task that owns the node and waits up to `timeout` seconds for the answer.
+        """Runs `work` in the task that runs the node and waits up to `timeout` seconds for the answer.
 
         Raises `StoreUnavailableError`, and whatever `work` raises.
         """
@@ -323,7 +324,7 @@
         def run_work() -> None:
             try:
                 work(waiter)
-            except Exception as error:  # goes to the task that waits; the task that owns the node continues
+            except Exception as error:  # goes to the task that waits; the task that runs the node continues
                 waiter.set(error)
 
         if not self._enqueue(run_work):
