--- a/harepick/cli/limit.py
+++ b/harepick/cli/limit.py
@@ -109,8 +109,8 @@
             f"    {instance}: share {share:.2f}, offered {row['demand'].get(instance, 0.0):.2f}/s"
             + (f", {owed:.2f} still to be returned" if owed else "")
         )
-    for caller, held in sorted(row["callers"].items()):
-        shares = ", ".join(f"{name} {share:.2f}" for name, share in sorted(held.items()))
+    for caller, caller_shares in sorted(row["callers"].items()):
+        shares = ", ".join(f"{name} {share:.2f}" for name, share in sorted(caller_shares.items()))
         lines.append(f"    {caller} by name: {shares or 'no shares yet'}")
     lines.append(f"    free: {row['free']:.2f}/s")
     store.print_result(row, "\n".join(lines))
--- a/harepick/cli/maint.py
+++ b/harepick/cli/maint.py
@@ -90,7 +90,7 @@
     row = _find_order(store, order)
     lines = [_format_order(row), *(f"       {_format_time(s['at'])}  {s['state']}" for s in row["steps"])]
     if row["gone"]:
-        lines.append(f"       gone when it went out: {', '.join(row['gone'])}")
+        lines.append(f"       controllers that were gone when it went out: {', '.join(row['gone'])}")
     store.print_result(row, "\n".join(lines))
 
 
--- a/harepick/enumdns/codec.py
+++ b/harepick/enumdns/codec.py
@@ -17,7 +17,7 @@
 import dns.opcode
 import dns.rcode
 import dns.rdatatype
-import dns.rdtypes.ANY.SOA  # dnspython loads a record type at its first use: not while serving
+import dns.rdtypes.ANY.SOA  # dnspython would import record types at their first use, while look-ups wait
 import dns.rdtypes.IN.NAPTR
 
 HEADER = struct.Struct(">HHHHHH")
@@ -87,7 +87,7 @@
 
 def _header_only(ident: int, flags: int, rcode: int) -> bytes:
     """A reply without a question section, for a query whose question cannot be repeated."""
-    kept = flags & (dns.flags.RD | 0x7800)
+    kept = flags & (dns.flags.RD | 0x7800)  # 0x7800: the opcode
     return HEADER.pack(ident, dns.flags.QR | kept | rcode, 0, 0, 0, 0)
 
 
--- a/harepick/gapping/auto_gaps.py
+++ b/harepick/gapping/auto_gaps.py
@@ -10,9 +10,8 @@
 from collections.abc import Collection, Iterator, Mapping
 from dataclasses import dataclass, field
 
-HOLD_DEMAND = (
-    0.5  # share of `per_s`: a gap starts at `per_s`, and is relaxed only while demand is below this share
-)
+# Share of `per_s`: a gap starts at `per_s`, and is relaxed only while demand is below this share of it.
+HOLD_DEMAND = 0.5
 RELAX_STEPS = 3  # halvings of the interval before a gap ends
 RENEW_AGE = 0.5  # share of the time to live after which a gap that is still needed is renewed
 MAX_ACTIVE = 64  # automatic gaps at once
@@ -140,7 +139,7 @@
         if now - state.conditions_met_since >= settings.after and now - state.proposed_at >= settings.after:
             state.proposed_at, state.step = now, 0
             failed_share = failed / offered
-            why = f"{offered:.0f} calls a second, {failed_share:.0%} of them for nothing"
+            why = f"{offered:.0f} calls a second, {failed_share:.0%} of them failed"
             yield GapProposal(number, settings.interval, now - state.conditions_met_since, why)
 
     def _renew_or_relax(
@@ -155,7 +154,7 @@
         """Renews an active gap while demand lasts, halves its interval as demand falls, and restores it when
         demand returns."""
         if not state.seen_active:  # seen for the first time; a new leader derives the step from the interval
-            # When another leader proposed the gap is not known: a fixed share of its time to live is assumed.
+            # The time at which another leader proposed it is not known: assume a fixed share of the ttl ago.
             state.seen_active, state.proposed_at = (
                 True,
                 max(state.proposed_at, now - (1 - RENEW_AGE) * settings.ttl),
--- a/harepick/gapping/config.py
+++ b/harepick/gapping/config.py
@@ -131,7 +131,7 @@
     elif _is_number(interval_value) and interval_value >= 0:
         interval = float(interval_value)
     else:
-        raise GapError(f"interval_s is no number of seconds, 0 or more, nor 'none': {interval_value!r}")
+        raise GapError(f"interval_s is neither 0 or more seconds nor 'none': {interval_value!r}")
     count = row.get("count", 1)
     if isinstance(count, bool) or not isinstance(count, int) or count < 1:
         raise GapError(f"count is not a whole number of 1 or more: {count!r}")
--- a/harepick/gapping/detector.py
+++ b/harepick/gapping/detector.py
@@ -2,8 +2,8 @@
 
 Memory is bounded whatever numbers are called. The table keeps the heaviest numbers (Space-Saving; Metwally,
 Agrawal, El Abbadi, 2005) with weights that decay over time (forward decay; Cormode et al., 2009). The table
-never underestimates a number that it holds; `error` bounds the overestimate and is subtracted, so that many
-numbers that are called once each make none look heavy.
+never underestimates a number that it holds. `error` bounds the overestimate and is subtracted, so that calls
+to many different numbers make none of them look heavy.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class Detector:
-    """A bounded table of the most called numbers; times are in seconds, on any steady clock."""
+    """A bounded table of the most called numbers; times are in seconds, on any monotonic clock."""
 
     def __init__(self, capacity: int = MAX_NUMBERS) -> None:
         self._capacity = capacity
@@ -78,9 +78,9 @@
                 return counter.offered
             heapq.heappush(self._heap, (counter.offered, number))  # its weight has grown since
 
-    def ended(self, number: str, good: bool, now: float) -> None:
+    def ended(self, number: str, succeeded: bool, now: float) -> None:
         """Counts the outcome of a call to that number."""
-        if not good and (counter := self._counters.get(number)):
+        if not succeeded and (counter := self._counters.get(number)):
             counter.failed += self._weight(now)
 
     def rate(self, number: str, now: float) -> tuple[float, float]:
--- a/harepick/gapping/slot_requests.py
+++ b/harepick/gapping/slot_requests.py
@@ -37,14 +37,14 @@
         """
         self._instance, self._blocks, self._started = instance, blocks, started
         self._intervals: dict[str, float] = {}
-        self._samples: dict[
-            str, tuple[float, int, float]
-        ] = {}  # gap -> time, calls offered, calls per second
+        # Gap -> time of the last sample, calls offered until then, calls offered per second.
+        self._samples: dict[str, tuple[float, int, float]] = {}
         # Slot key -> time of the last request, and end of the last owned block at that time.
         self._requested: dict[str, tuple[float, int]] = {}
 
     def owns(self, gap: str, slot: int) -> bool:
-        """Whether this instance may use that slot (from the Unix epoch): it owns it and started before it."""
+        """Whether this instance may use that slot (numbered from the Unix epoch): one it owns, and that began
+        after its process started."""
         interval = self._intervals.get(gap)
         if interval is None or slot <= floor(self._started / interval):
             return False
--- a/harepick/gapping/start_times.py
+++ b/harepick/gapping/start_times.py
@@ -1,7 +1,7 @@
 """Writes the start times of gaps into a store's configuration, so that `for_s` spans restarts.
 
-An operator gives a gap's duration (`for_s`); every process that read it would count from its own start. So
-whoever accepts a configuration writes the start beside it once (`since`, Unix seconds). A gap that exists
+An operator gives a gap's duration (`for_s`), which every process would count from its own start. So the
+instance that accepts a configuration adds each gap's start once (`since`, Unix seconds). A gap that exists
 already keeps its start, as it does at SIGHUP, whatever else of the configuration changes.
 """
 
@@ -13,7 +13,7 @@
 
 
 def may_need_start_times(text: str) -> bool:
-    """Whether a configuration may hold gaps without a start time; a cheap check that avoids parsing most."""
+    """Whether a configuration may hold gaps without a start time; cheap, as it does not parse the text."""
     return "for_s" in text
 
 
@@ -43,7 +43,7 @@
     """Returns the configuration with `since` in every gap that has only `for_s`.
 
     `text` and `latest`, the configuration in force, must both be valid. Everything else stays as written,
-    comments included. Blocks for long on a large configuration.
+    comments included. Blocks the calling thread for long on a large configuration.
     """
     rows = _rows(text)
     if not any(_needs_start_time(row) for row in rows.values()):
