--- a/tests/dnspeers.py
+++ b/tests/dnspeers.py
@@ -54,9 +54,8 @@
 
     def __init__(self, mode: str = "serve") -> None:
         self.mode, self.records = mode, 1
-        self.queries: list[
-            tuple[float, str, dns.message.Message, int]
-        ] = []  # time, transport, query, source port
+        # Time, transport, query, source port.
+        self.queries: list[tuple[float, str, dns.message.Message, int]] = []
         self._udp = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         self.port = free_port()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -165,9 +165,9 @@
         while True:
             with suppress(TimeoutError):
                 self.accept(within=0.005)
-            for line in self.connections:
+            for connection in self.connections:
                 with suppress(AssertionError, OSError, EOFError):
-                    return line, invite(line, within=0.005)
+                    return connection, invite(connection, within=0.005)
             if time.monotonic() >= end:
                 return None
 
@@ -206,8 +206,8 @@
     def events(self, name: str) -> list[dict[str, Any]]:
         """Returns the log lines with that event name."""
         lines = self._log.read_bytes().split(b"\n")[:-1]
-        read = [json.loads(line) for line in lines if line.startswith(b"{")]
-        return [line for line in read if line["event"] == name]
+        records = [json.loads(line) for line in lines if line.startswith(b"{")]
+        return [line for line in records if line["event"] == name]
 
     def text(self) -> str:
         return self._log.read_text()
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -36,25 +36,25 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(
     calls=st.lists(st.tuples(st.floats(0.0, 3.0), st.integers(0, 30)), min_size=1, max_size=200),
-    most=st.integers(2, 8),
+    capacity=st.integers(2, 8),
 )
-def test_a_rate_is_never_told_higher_than_it_is_and_the_heavy_are_never_lost(
-    calls: list[tuple[float, int]], most: int
+def test_a_rate_is_never_overestimated_and_no_heavy_number_is_lost(
+    calls: list[tuple[float, int]], capacity: int
 ) -> None:
-    detector, now = Detector(most), 5.0
-    true: dict[str, float] = {}
-    for passed, n in calls:
-        now += passed
-        true = {number: weight * exp(-passed / AVERAGING_TIME_S) for number, weight in true.items()}
+    detector, now = Detector(capacity), 5.0
+    weights: dict[str, float] = {}  # the true ones
+    for elapsed, n in calls:
+        now += elapsed
+        weights = {number: weight * exp(-elapsed / AVERAGING_TIME_S) for number, weight in weights.items()}
         number = f"+{n}"
-        true[number] = true.get(number, 0.0) + 1.0
+        weights[number] = weights.get(number, 0.0) + 1.0
         detector.offered(number, now)
-        assert len(detector) <= most
-    total = sum(true.values())
-    for number, weight in true.items():
+        assert len(detector) <= capacity
+    total = sum(weights.values())
+    for number, weight in weights.items():
         rate = detector.rate(number, now)[0] * AVERAGING_TIME_S
         assert rate <= weight * (1 + 1e-6) + 1e-9
-        assert rate >= weight - total / most - 1e-6, "Space-Saving: off by a part of all that came, at most"
+        assert rate >= weight - total / capacity - 1e-6, "underestimates more than Space-Saving may"
 
 
 def test_many_numbers_called_once_make_none_heavy_and_hide_no_heavy_one() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -92,11 +92,11 @@
         DISCONNECTS[how](leaving_caller, abandoned_call)
         running.wait_for_counter("calls.given_up")
         make_reachable()
-        stays = other.call(time_limit_ms=4000)
+        other_call = other.call(time_limit_ms=4000)
         found = peers.until(lambda: first_invite(platform.servers[0]), why="the other call")
-        assert found[1].call == stays.hex()
+        assert found[1].call == other_call.hex()
         peers.reply(found[0], found[1], 200, b"answer")
-        assert other.final_answer(stays).type == binary.ANSWER
+        assert other.final_answer(other_call).type == binary.ANSWER
         # The connection that the call had waited for is open as well.
         running.wait_for_counter("servers.connections", 2)
         assert platform.servers[0].invited(within=0.3) is None
@@ -135,13 +135,13 @@
             leaving_caller.call(call_id=n.to_bytes(7, "big") + b"\1", number=b"%d" % n)
             leaving_caller.close(reset=n % 2 == 1)
         other = peers.Caller(platform.port)
-        stays = other.call(call_id=b"\7" * 8)
+        other_call = other.call(call_id=b"\7" * 8)
         while True:
-            found = peers.until(lambda: first_invite(platform.servers[0]), why="a call that stays")
-            if found[1].call == stays.hex():
+            found = peers.until(lambda: first_invite(platform.servers[0]), why="the other call")
+            if found[1].call == other_call.hex():
                 break
         peers.reply(found[0], found[1], 200, b"answer")
-        assert other.final_answer(stays).type == binary.ANSWER
+        assert other.final_answer(other_call).type == binary.ANSWER
         peers.until(lambda: peers.metrics(platform.ops)["edge_gw_pending"] == 1, why="all others given up")
         sent = running.counters()["servers.sent_invite"]
         peers.until(lambda: platform.servers[0].invited(within=0.5) is None, why="the rest to be read")
@@ -175,7 +175,7 @@
 
 
 def bus_sends(bus: socket.socket, *lines: object) -> None:
-    """Sends lines on the bus: numbers for the line of every second, and events as they are."""
+    """Sends lines on the bus: events, and the offset of the last event as the bus reports it every second."""
     bus.sendall(b"".join(json.dumps(line).encode() + b"\n" for line in lines))
 
 
@@ -193,12 +193,12 @@
         began = time.monotonic()
         stop = threading.Event()
 
-        def send_numbers() -> None:
+        def report_offset() -> None:
             while not stop.wait(0.2):
                 with suppress(OSError):
                     bus_sends(lagging_bus, {"offset": 3})
 
-        sender = threading.Thread(target=send_numbers)
+        sender = threading.Thread(target=report_offset)
         sender.start()
         try:
             again = platform.accept_bus_connection()
@@ -219,18 +219,20 @@
     with platform.run() as running:
         bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 1\n"
-        late = peers.row("s9", "127.0.0.1:9", 1)
-        bus_sends(bus, peers.event(2, late), peers.event(4, late))
+        other_row = peers.row("s9", "127.0.0.1:9", 1)
+        bus_sends(bus, peers.event(2, other_row), peers.event(4, other_row))
         bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 2\n"
         drain = peers.row("s0", platform.servers[0].address, 0, "DRAINING")
-        bus_sends(bus, peers.event(3, drain), peers.event(4, late), peers.event(6, late))
+        bus_sends(bus, peers.event(3, drain), peers.event(4, other_row), peers.event(6, other_row))
         bus = platform.accept_bus_connection()
         assert bus.recv(100) == b"from 4\n"
         # There is no fifth event: what is missing at the start of a watch does not exist.
-        bus_sends(bus, peers.event(6, late))
-        bus_sends(bus, peers.event(9, peers.row("s1", platform.servers[1].address, 1), late, reset=True))
-        peers.until(lambda: len(running.events("list")) == 5, why="the whole list, which skips nothing")
+        bus_sends(bus, peers.event(6, other_row))
+        bus_sends(bus, peers.event(9, peers.row("s1", platform.servers[1].address, 1), other_row, reset=True))
+        peers.until(
+            lambda: len(running.events("list")) == 5, why="the whole list, after which no event is missing"
+        )
         assert [e["offset"] for e in running.events("list")] == [2, 3, 4, 6, 9]
         assert "s0 gone" in " ".join(running.events("list")[-1]["rows"])
         assert running.counters()["bus.gaps"] == 2
@@ -250,24 +252,26 @@
 
 def test_lag_tolerance_is_bounded_and_doubles_while_new_watches_bring_nothing() -> None:
     """Delays are also spread: a fleet that notices the lag in the same second does not reconnect at once."""
-    lags = [LagMonitor(random.Random(n)) for n in range(200)]
-    for lag in lags:
-        lag.bus_reported(5, 4, now=100.0)
-    due = sorted(lag.reconnect_at - 100.0 for lag in lags if lag.reconnect_at is not None)
-    assert len(due) == 200 and due[0] >= LAG_TOLERANCE_S and due[-1] <= LAG_TOLERANCE_S + LAG_JITTER_S
-    per_tenth = [sum(n / 10 <= d - LAG_TOLERANCE_S < (n + 1) / 10 for d in due) for n in range(10)]
+    monitors = [LagMonitor(random.Random(n)) for n in range(200)]
+    for monitor in monitors:
+        monitor.bus_reported(5, 4, now=100.0)
+    delays = sorted(monitor.reconnect_at - 100.0 for monitor in monitors if monitor.reconnect_at is not None)
+    assert (
+        len(delays) == 200 and delays[0] >= LAG_TOLERANCE_S and delays[-1] <= LAG_TOLERANCE_S + LAG_JITTER_S
+    )
+    per_tenth = [sum(n / 10 <= d - LAG_TOLERANCE_S < (n + 1) / 10 for d in delays) for n in range(10)]
     assert max(per_tenth) < 45  # of 200; without jitter all would be in one tenth
-    lag = lags[0]
+    monitor = monitors[0]
     for tries in range(1, 8):
-        lag.watch_started()
-        lag.bus_reported(5, 4, now=200.0)
-        assert lag.reconnect_at is not None
+        monitor.watch_started()
+        monitor.bus_reported(5, 4, now=200.0)
+        assert monitor.reconnect_at is not None
         bound = min(LAG_TOLERANCE_S * 2**tries, MAX_LAG_TOLERANCE_S)
-        assert bound <= lag.reconnect_at - 200.0 <= bound + LAG_JITTER_S
-    lag.event_applied(5)
-    assert lag.reconnect_at is None
-    lag.bus_reported(6, 5, now=300.0)
-    assert lag.reconnect_at is not None and lag.reconnect_at - 300.0 <= LAG_TOLERANCE_S + LAG_JITTER_S
+        assert bound <= monitor.reconnect_at - 200.0 <= bound + LAG_JITTER_S
+    monitor.event_applied(5)
+    assert monitor.reconnect_at is None
+    monitor.bus_reported(6, 5, now=300.0)
+    assert monitor.reconnect_at is not None and monitor.reconnect_at - 300.0 <= LAG_TOLERANCE_S + LAG_JITTER_S
 
 
 # Reload, drain, and both
@@ -563,18 +567,18 @@
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
         await loop_turns(5)
-        stays = socket.create_connection(("127.0.0.1", port))
-        resets = socket.create_connection(("127.0.0.1", port))
-        resets.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+        other = socket.create_connection(("127.0.0.1", port))
+        resetting = socket.create_connection(("127.0.0.1", port))
+        resetting.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         harness.closing.set()  # before anything has been accepted
-        resets.close()
-        stays.sendall(binary.Message(binary.TEST, b"\1" * 8, {binary.CAUSE: b"\0"}).encode())
-        assert [m.type for m in await read(stays, binary.Decoder())] == [binary.TEST_RESULT]
-        stays.close()
+        resetting.close()
+        other.sendall(binary.Message(binary.TEST, b"\1" * 8, {binary.CAUSE: b"\0"}).encode())
+        assert [m.type for m in await read(other, binary.Decoder())] == [binary.TEST_RESULT]
+        other.close()
         tasks.cancel_scope.cancel()
 
 
-async def opened(harness: CallersHarness, port: int) -> tuple[socket.socket, CallerConnection]:
+async def open_with_set_up(harness: CallersHarness, port: int) -> tuple[socket.socket, CallerConnection]:
     """Opens a caller's connection and sends a set-up on it; returns the client's socket and the server's
     connection."""
     before = set(harness.connections())
@@ -592,8 +596,8 @@
     harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
-        first, ending = await opened(harness, port)
-        second, _ = await opened(harness, port)
+        first, ending = await open_with_set_up(harness, port)
+        second, _ = await open_with_set_up(harness, port)
         (offer,) = [
             message for message in await harness.messages(Offer) if message.caller.connection is ending
         ]
@@ -610,7 +614,7 @@
     harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
-        _sock, ending = await opened(harness, port)
+        _sock, ending = await open_with_set_up(harness, port)
         (offer,) = await harness.messages(Offer)
         offer.caller.established(b"answer")
         ending.scope.cancel()
@@ -624,7 +628,7 @@
     harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
-        sock, busy = await opened(harness, port)
+        sock, busy = await open_with_set_up(harness, port)
         (offer,) = await harness.messages(Offer)
         offer.caller.refused(0.1)
         busy.outbox.take()  # as the writer does, before it sends the bytes
@@ -640,7 +644,7 @@
     harness = CallersHarness()
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
-        sock, _ = await opened(harness, port)
+        sock, _ = await open_with_set_up(harness, port)
         (offer,) = await harness.messages(Offer)
         while len(harness.inbox) < DEFAULT_CAPACITY:
             harness.inbox.put_nowait(CallerGone("another"))
@@ -654,18 +658,18 @@
     harness, owner = CallersHarness(), Owner()
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(harness.run)
-        sock, _ = await opened(harness, port)
+        sock, _ = await open_with_set_up(harness, port)
         (offer,) = await harness.messages(Offer)
         pool, first = await pool_with_open_set_up(owner, tasks)
         pool._connections[0].open_attempts.clear()  # answered: the connection is free
-        late = attempt("0" * 15 + "2")
-        late.send_check = lambda attempt, now: not offer.caller.gone
-        late.placed_at = time.time() - 0.1
+        delayed = attempt("0" * 15 + "2")
+        delayed.send_check = lambda attempt, now: not offer.caller.gone
+        delayed.placed_at = time.time() - 0.1
         sock.close()
-        pool.place(late)  # in the same turn
+        pool.place(delayed)  # in the same turn
         await wait_for(lambda: offer.caller.gone)
         await loop_turns(10)
-        assert first.sent is not None and late.sent is None
+        assert first.sent is not None and delayed.sent is None
         tasks.cancel_scope.cancel()
 
 
--- a/tests/test_enum.py
+++ b/tests/test_enum.py
@@ -146,7 +146,7 @@
 
 
 def test_upstreams_are_drained_and_changed_while_running() -> None:
-    """A reload must lose no look-up, and nothing goes to a draining upstream after its grace."""
+    """A reload must lose no look-up, and nothing goes to a draining upstream after the drain grace."""
     old, new = Upstream(), Upstream()
     front = EnumProgram(old, new)
     with front.run() as running:
--- a/tests/test_gap_shares.py
+++ b/tests/test_gap_shares.py
@@ -12,7 +12,8 @@
 from harepick.gapping.slot_allocation import MAX_BLOCK, SlotAllocator, SlotBlock, SlotRequest
 from harepick.gapping.slot_requests import SlotRequester
 
-ASKS = st.lists(
+# Instance, gap, first slot, demand.
+REQUESTS = st.lists(
     st.tuples(st.sampled_from("abcde"), st.sampled_from(["g", "h"]), st.integers(0, 200), st.floats(0, 500)),
     max_size=200,
 )
@@ -20,17 +21,17 @@
 
 # Guards against overlapping blocks, by which two instances would pass a call in the same slot.
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(ASKS)
-def test_no_slot_has_two_owners_and_no_block_begins_before_its_ask(
-    asks: list[tuple[str, str, int, float]],
+@given(REQUESTS)
+def test_no_slot_has_two_owners_and_no_block_begins_before_the_requested_slot(
+    requests: list[tuple[str, str, int, float]],
 ) -> None:
-    allotment = SlotAllocator()
-    given_out: dict[str, list[SlotBlock]] = {"g": [], "h": []}
-    for instance, gap, first, demand in asks:
-        block = allotment.apply(SlotRequest(instance, gap, first, demand))
+    allocator = SlotAllocator()
+    allocated: dict[str, list[SlotBlock]] = {"g": [], "h": []}
+    for instance, gap, first, demand in requests:
+        block = allocator.apply(SlotRequest(instance, gap, first, demand))
         assert block.first >= first and 1 <= block.length <= MAX_BLOCK
-        assert all(block.first >= other.end or block.end <= other.first for other in given_out[gap])
-        given_out[gap].append(block)
+        assert all(block.first >= other.end or block.end <= other.first for other in allocated[gap])
+        allocated[gap].append(block)
 
 
 def test_replicas_that_apply_the_same_requests_derive_the_same_owners() -> None:
@@ -58,7 +59,7 @@
     rng = random.Random(1)
     allocator = SlotAllocator()
     alive = set("abc")
-    passes: dict[int, list[str]] = {}
+    passes: dict[int, list[str]] = {}  # slot -> instances that pass a call in it
     unused_slots = 0
 
     def owns(name: str, slot: int) -> bool:
@@ -118,7 +119,7 @@
     screens = {name: GapScreen(owns=ownership(name)) for name in "ab"}
     screens["a"].apply(rows, 1000.1)
     screens["b"].apply(rows, 1000.4)
-    passes: dict[int, int] = {}
+    passes: dict[int, int] = {}  # slot -> calls that pass in it
     now = 1000.5
     while now < 1030.0:
         slot = int(now // 0.5)
--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -13,12 +13,12 @@
 from tests import peers
 from tests.dnspeers import NUMBER, Client, EnumProgram, Upstream
 
-CLAIM = b"7f3a9c21e0b4d655"
-OTHER = b"0123456789abcdef"
-GAP = {"id": "radio", "number": CLAIM.decode(), "interval_s": 0.5, "reason": "appeal"}
+GAPPED_NUMBER = b"7f3a9c21e0b4d655"
+OTHER_NUMBER = b"0123456789abcdef"
+GAP = {"id": "radio", "number": GAPPED_NUMBER.decode(), "interval_s": 0.5, "reason": "appeal"}
 
 
-def offered(caller: peers.Caller, number: bytes, count: int, interval: float) -> list[bytes]:
+def make_calls(caller: peers.Caller, number: bytes, count: int, interval: float) -> list[bytes]:
     """Makes `count` calls to the number, `interval` seconds apart; returns their ids."""
     calls = []
     for _ in range(count):
@@ -27,8 +27,8 @@
     return calls
 
 
-def invites(platform: peers.Platform, within: float = 0.5) -> list[sip.Message]:
-    """Accepts every set-up that reaches the server, until none arrives for `within` seconds."""
+def answer_set_ups(platform: peers.Platform, within: float = 0.5) -> list[sip.Message]:
+    """Answers every set-up that reaches the server, until none arrives for `within` seconds; returns them."""
     found = []
     while request := platform.servers[0].invited(within):
         peers.reply(*request, 200, b"answer")
@@ -42,8 +42,8 @@
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         started = time.monotonic()
-        calls = offered(caller, CLAIM, 12, 0.1)  # over 1.2 s
-        reached = invites(platform)
+        calls = make_calls(caller, GAPPED_NUMBER, 12, 0.1)  # over 1.2 s
+        reached = answer_set_ups(platform)
         elapsed = time.monotonic() - started
         refused = [
             caller.final_answer(call)
@@ -55,17 +55,15 @@
         series = 'edge_gw_gap_calls_total{gap="radio",result="%s"}'
         passed, gapped = metrics[series % "passed"], metrics[series % "refused"]
         assert metrics[series % "offered"] == 12 and passed + gapped == 12
-        assert (
-            1 <= len(reached) <= passed <= int(elapsed / 0.5) + 2
-        )  # one per slot; overload control may refuse some
+        # One passes per slot; overload control may refuse some of these.
+        assert 1 <= len(reached) <= passed <= int(elapsed / 0.5) + 2
         assert gapped == running.counters()["answers.gapped"] >= 12 - int(elapsed / 0.5) - 2
         retry_times = sorted(int(message.parameters[binary.RETRY_AFTER]) for message in refused)
-        assert (
-            retry_times[0] > 0 and retry_times[int(gapped) - 1] <= 1000
-        )  # ms: rest of the slot and one more
+        # Milliseconds: the rest of the slot, and at most one more interval.
+        assert retry_times[0] > 0 and retry_times[int(gapped) - 1] <= 1000
         assert len(set(retry_times)) > 1, "all refused callers would return at the same moment"
-        others = offered(caller, OTHER, 3, 0.0)  # another number is not gapped
-        reached_others = invites(platform)
+        others = make_calls(caller, OTHER_NUMBER, 3, 0.0)  # another number is not gapped
+        reached_others = answer_set_ups(platform)
         assert {message.call for message in reached_others} == {call.hex() for call in others}
 
 
@@ -74,19 +72,19 @@
     platform.config["gaps"] = [{**GAP, "interval_s": "none"}]
     with platform.run() as running:
         caller = peers.Caller(platform.port)
-        assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
+        assert caller.final_answer(caller.call(number=GAPPED_NUMBER)).parameters[binary.CAUSE] == bytes([42])
         platform.config["gaps"] = [{**GAP, "interval_s": 1, "until": 1_000}]  # an end in the past
         platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
         event = peers.until(lambda: running.events("reload_failed"), why="the refusal")[0]
         assert "gaps" in event["error"] and "end is past" in event["error"]
-        assert caller.final_answer(caller.call(number=CLAIM)).parameters[binary.CAUSE] == bytes([42])
+        assert caller.final_answer(caller.call(number=GAPPED_NUMBER)).parameters[binary.CAUSE] == bytes([42])
         del platform.config["gaps"]
         platform.path.write_text(json.dumps(platform.config))
         running.process.send_signal(signal.SIGHUP)
         changes = peers.until(lambda: running.events("gaps")[1:], why="the lift")[0]
         assert changes["lifted"] == ["radio"] and changes["now"] == 0
-        call = caller.call(number=CLAIM)
+        call = caller.call(number=GAPPED_NUMBER)
         server = platform.servers[0].accept()
         assert peers.invite(server).call == call.hex()
 
--- a/tests/test_gaps.py
+++ b/tests/test_gaps.py
@@ -11,7 +11,7 @@
 
 from harepick.gapping.gaps import BLOCK_ALL, Call, Gap, GapError, Gaps
 
-CLAIM = "+94112345678"
+NUMBER = "+94112345678"
 
 
 def passed(gaps: Gaps, number: str, *times: float) -> list[bool]:
@@ -21,25 +21,25 @@
 
 def test_one_call_a_slot_passes_and_an_unused_slot_is_not_saved_up() -> None:
     gaps = Gaps()
-    gaps.set(Gap("radio", 1.0, number=CLAIM, start=10.0), 10.0)
-    assert passed(gaps, CLAIM, 9.9, 9.95) == [True, True], "the gap has not started"
-    assert passed(gaps, CLAIM, 10.0, 10.5, 10.99, 11.0, 11.1) == [True, False, False, True, False]
-    assert passed(gaps, CLAIM, 15.0, 15.1, 15.2) == [True, False, False]
+    gaps.set(Gap("radio", 1.0, number=NUMBER, start=10.0), 10.0)
+    assert passed(gaps, NUMBER, 9.9, 9.95) == [True, True], "the gap has not started"
+    assert passed(gaps, NUMBER, 10.0, 10.5, 10.99, 11.0, 11.1) == [True, False, False, True, False]
+    assert passed(gaps, NUMBER, 15.0, 15.1, 15.2) == [True, False, False]
     assert passed(gaps, "+94112345679", 15.0, 15.1) == [True, True]
-    decision = gaps.decide(Call(CLAIM), 15.25)
+    decision = gaps.decide(Call(NUMBER), 15.25)
     assert decision.gap == "radio" and decision.retry_after == pytest.approx(0.75)
 
 
 def test_a_clock_set_back_passes_no_second_call_in_a_slot() -> None:
     gaps = Gaps()
-    gaps.set(Gap("g", 1.0, number=CLAIM), 0.0)
-    assert passed(gaps, CLAIM, 5.5, 4.5, 3.0, 5.9, 6.0) == [True, False, False, False, True]
+    gaps.set(Gap("g", 1.0, number=NUMBER), 0.0)
+    assert passed(gaps, NUMBER, 5.5, 4.5, 3.0, 5.9, 6.0) == [True, False, False, False, True]
 
 
 def test_a_gap_passes_a_call_at_the_moment_of_its_end() -> None:
     gaps = Gaps()
-    gaps.set(Gap("g", BLOCK_ALL, number=CLAIM, end=20.0), 0.0)
-    assert passed(gaps, CLAIM, 19.999, 20.0) == [False, True]
+    gaps.set(Gap("g", BLOCK_ALL, number=NUMBER, end=20.0), 0.0)
+    assert passed(gaps, NUMBER, 19.999, 20.0) == [False, True]
     assert [gap.id for gap in gaps.expire(20.0)] == ["g"] and not len(gaps)
 
 
@@ -47,12 +47,12 @@
     for inherit, second_passes in ((True, False), (False, True)):
         gaps = Gaps()
         gaps.set(Gap("district", 1.0, prefix="+9411"), 0.0)
-        gaps.set(Gap("claim", 1.0, number=CLAIM, inherit=inherit), 0.0)
+        gaps.set(Gap("claim", 1.0, number=NUMBER, inherit=inherit), 0.0)
         assert passed(gaps, "+94119999999", 5.0) == [True], "uses the slot of the district gap"
-        assert passed(gaps, CLAIM, 5.1) == [second_passes]
+        assert passed(gaps, NUMBER, 5.1) == [second_passes]
         # A call that the district gap refused has not used the slot of the claim gap.
-        assert passed(gaps, CLAIM, 6.0) == [True]
-        applicable = [gap.id for gap, _ in gaps.explain(Call(CLAIM), 6.5)]
+        assert passed(gaps, NUMBER, 6.0) == [True]
+        applicable = [gap.id for gap, _ in gaps.explain(Call(NUMBER), 6.5)]
         assert applicable == (["claim", "district"] if inherit else ["claim"])
 
 
@@ -66,12 +66,12 @@
 
 def test_a_gap_set_again_keeps_its_slot_and_another_interval_starts_new_slots() -> None:
     gaps = Gaps()
-    gaps.set(Gap("g", 10.0, number=CLAIM), 0.0)
-    assert passed(gaps, CLAIM, 1.0) == [True]
-    gaps.set(Gap("g", 10.0, number=CLAIM, reason="again"), 2.0)
-    assert passed(gaps, CLAIM, 2.0) == [False] and len(gaps) == 1
-    gaps.set(Gap("g", 1.0, number=CLAIM), 3.0)
-    assert passed(gaps, CLAIM, 3.0, 3.5, 4.0) == [True, False, True]
+    gaps.set(Gap("g", 10.0, number=NUMBER), 0.0)
+    assert passed(gaps, NUMBER, 1.0) == [True]
+    gaps.set(Gap("g", 10.0, number=NUMBER, reason="again"), 2.0)
+    assert passed(gaps, NUMBER, 2.0) == [False] and len(gaps) == 1
+    gaps.set(Gap("g", 1.0, number=NUMBER), 3.0)
+    assert passed(gaps, NUMBER, 3.0, 3.5, 4.0) == [True, False, True]
     assert gaps.counts()["g"] == (5, 3, 2)
 
 
@@ -170,7 +170,7 @@
         assert decision.passed or decision.retry_after >= 0.0
 
     @invariant()
-    def same(self) -> None:
+    def same_number_of_gaps(self) -> None:
         assert len(self.gaps) == len(self.expected_gaps)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -67,16 +67,15 @@
         call, _server = establish_call(platform, caller)
         second = platform.servers[0].accept()
         assert caller.silent(1.0)
-        second.send(
-            sip.bye(b"1", call.hex(), 7, 16)
-        )  # the end of a call may be reported on the new connection
+        # The end of a call may be reported on the new connection.
+        second.send(sip.bye(b"1", call.hex(), 7, 16))
         assert caller.final_answer(call).parameters[binary.CAUSE] == bytes([16])
         assert "servers.died" not in running.counters()
 
 
 def test_answer_to_the_second_attempt_is_delivered() -> None:
-    """Servers answer every INVITE with CSeq 1. Taken for the number of the attempt, it made every second
-    attempt fail."""
+    """Regression: servers answer every INVITE with CSeq 1; this was taken for the number of the attempt, so
+    every second attempt failed."""
     platform = peers.Platform(servers=2)
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -123,8 +122,8 @@
 
 
 def test_reset_ends_open_set_ups_and_keeps_standing_calls() -> None:
-    """The process behind the connection may live on. Taken for its death, a reset cut every call that
-    stood there."""
+    """Regression: a reset was taken for the death of the server, and every call that stood there was cut. The
+    process behind the connection may still run."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -134,9 +133,8 @@
         peers.invite(server)
         server.close(reset=True)
         started_at = time.time()
-        new_connection = platform.servers[
-            0
-        ].accept()  # at once, as the ends of calls are reported on the next connection
+        # Opened at once, as the ends of calls are reported on the next connection.
+        new_connection = platform.servers[0].accept()
         new_connection.send(sip.bye(b"1", call.hex(), 7, 16))
         assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([16])
         again = peers.invite(new_connection)  # after the guard time the call may be sent again
@@ -209,7 +207,8 @@
 
 
 def test_connection_is_kept_while_a_call_set_up_on_it_stands() -> None:
-    """Closed as spare, such a connection lost the ends of seven calls that were on their way."""
+    """Regression: such a connection was closed as spare, and the ends of seven calls, in transit on it, were
+    lost."""
     platform = peers.Platform()
     with platform.run() as running:
         caller = peers.Caller(platform.port)
@@ -232,14 +231,14 @@
     with platform.run() as running:
         caller = peers.Caller(platform.port)
         caller.call()
-        malformed = platform.servers[0].accept()
-        peers.invite(malformed)
+        faulty_connection = platform.servers[0].accept()
+        peers.invite(faulty_connection)
         other = caller.call()
-        sound = platform.servers[0].accept()
-        invite = peers.invite(sound)
-        malformed.send(b"\xffnoise\r\n\r\n")
+        other_connection = platform.servers[0].accept()
+        invite = peers.invite(other_connection)
+        faulty_connection.send(b"\xffnoise\r\n\r\n")
         peers.until(lambda: running.events("closed"), why="the end of the malformed connection")
-        peers.reply(sound, invite, 200, b"answer")
+        peers.reply(other_connection, invite, 200, b"answer")
         assert caller.final_answer(other).type == binary.ANSWER
 
 
@@ -273,8 +272,8 @@
         address = platform.servers[0].address
         gone = peers.row("s0", address, 0, "DELETED")
         new = peers.row("s9", address, 0)
-        news = [b'{"offset":1}', b"1", json.dumps(peers.event(2, gone, new)).encode()]
-        bus.sendall(b"\n".join(news) + b"\n")
+        lines = [b'{"offset":1}', b"1", json.dumps(peers.event(2, gone, new)).encode()]
+        bus.sendall(b"\n".join(lines) + b"\n")
         assert caller.final_answer(call, within=1.0).parameters[binary.CAUSE] == bytes([41])
         with pytest.raises(EOFError):  # the connection to the removed server is closed
             old.next(lambda _: False)
