--- a/harepick/cli/limit.py
+++ b/harepick/cli/limit.py
@@ -75,6 +75,7 @@
 
 
 def _read_limits(store: StoreAccess, stale: bool = False) -> dict[str, Any]:
+    """The limits and verdicts in effect; with `stale`, as the answering instance knows them."""
     return dict(store.request(lambda client: client.call("limit_list", {"stale": stale}, store.timeout_s)))
 
 
--- a/harepick/gapping/gaps.py
+++ b/harepick/gapping/gaps.py
@@ -79,7 +79,7 @@
     """Whether a call passes.
 
     `gap` is the id of the gap that refused it; `retry_after` the seconds until that gap may pass a call, or 0
-    if this is unknown.
+    if it passes none and has no end.
     """
 
     passed: bool
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -112,7 +112,7 @@
     leader.run(20.0, {HOT_NUMBER: (39.0, 39.0), OTHER_NUMBER: (500.0, 100.0)})
     assert not leader.gaps, "demand below the rate, or too few failures"
     leader.run(1.9, {HOT_NUMBER: (60.0, 40.0)})
-    leader.run(0.2, {HOT_NUMBER: (60.0, 20.0)})  # few failures for a moment: the time counts again
+    leader.run(0.2, {HOT_NUMBER: (60.0, 20.0)})  # few failures for a moment: the time starts again
     leader.run(1.9, {HOT_NUMBER: (60.0, 40.0)})
     assert not leader.gaps
     leader.run(0.3, {HOT_NUMBER: (60.0, 40.0)})
@@ -168,9 +168,8 @@
     relaxed = leader.gaps[HOT_NUMBER][0]
     assert relaxed < 1.0
     leader.policy, count_before = AutoGaps(), len(leader.proposals)
-    leader.gaps = {
-        number: (interval, leader.now) for number, (interval, _) in leader.gaps.items()
-    }  # a new leader counts verdicts from its election
+    # A new leader counts the time to live of verdicts from its election.
+    leader.gaps = {number: (interval, leader.now) for number, (interval, _) in leader.gaps.items()}
     leader.run(1.0, {})  # no instance has reported demand yet
     assert leader.gaps[HOT_NUMBER][0] == relaxed and len(leader.proposals) == count_before
     leader.run(60.0, {HOT_NUMBER: (1.0, 0.0)})
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -475,9 +475,9 @@
     with platform.run():
         caller = peers.Caller(platform.port)
         whole = set_up(b"\6" * 8)
-        for at in range(12):  # in twelve pieces, 0.21 s apart
-            caller.send(whole[at * 3 : (at + 1) * 3 if at < 11 else None])
-            time.sleep(0.21 if at < 11 else 0)
+        for piece in range(12):  # 0.21 s apart
+            caller.send(whole[piece * 3 : (piece + 1) * 3 if piece < 11 else None])
+            time.sleep(0.21 if piece < 11 else 0)
         server = platform.servers[0].accept()
         peers.reply(server, peers.invite(server), 200, b"answer")
         assert caller.final_answer(b"\6" * 8).type == binary.ANSWER
@@ -522,9 +522,9 @@
         await anyio.lowlevel.checkpoint()
 
 
-async def wait_for(what: Callable[[], object]) -> None:
+async def wait_for(condition: Callable[[], object]) -> None:
     with anyio.fail_after(5):
-        while not what():
+        while not condition():
             await anyio.sleep(0.001)
 
 
--- a/tests/test_enum_start.py
+++ b/tests/test_enum_start.py
@@ -9,7 +9,7 @@
 import pytest
 from anyio.to_thread import run_sync
 
-from harepick import interface as i
+from harepick import interface
 from harepick.counters import Counters
 from harepick.directory import ServerRecord
 from harepick.enumdns.service import EnumFront, server_name
@@ -67,7 +67,7 @@
     """The servers of a configuration, as the stored pool view has them."""
     return [
         ServerRecord(
-            i.ServerEntry(server_name(u.name, u.address), n, "draining" if u.draining else "ready"),
+            interface.ServerEntry(server_name(u.name, u.address), n, "draining" if u.draining else "ready"),
             parse_address(str(u.address), "view.address"),
         )
         for n, u in enumerate(config.upstreams)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -320,13 +320,14 @@
         call, server = establish_call(platform, caller)
         running.process.terminate()
         peers.until(lambda: running.events("stopping"), why="the stop")
-        late = peers.Caller(platform.port)
-        crossing = late.call(time_limit_ms=2000)
+        late_caller = peers.Caller(platform.port)
+        answered_call = late_caller.call(time_limit_ms=2000)
         peers.reply(server, peers.invite(server), 200, b"answer")
-        assert late.final_answer(crossing).type == binary.ANSWER
-        unanswered = late.call(time_limit_ms=9000)
-        assert late.final_answer(unanswered).type == binary.RELEASE
-        assert late.final_answer(crossing).type == binary.RELEASE  # standing calls are released at the end
+        assert late_caller.final_answer(answered_call).type == binary.ANSWER
+        unanswered_call = late_caller.call(time_limit_ms=9000)
+        assert late_caller.final_answer(unanswered_call).type == binary.RELEASE
+        # Standing calls are released at the end.
+        assert late_caller.final_answer(answered_call).type == binary.RELEASE
         assert caller.final_answer(call).type == binary.RELEASE
         assert running.process.wait(3) == 0
         assert running.events("counters")[-1]["answers.stands"] == 2
