--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks and simulations, one program per claim, and the fake peers that tests share with them."""
+"""Benchmarks and simulations, each a program of its own, and the test doubles that tests share with them."""
--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -7,7 +7,7 @@
 
     python -m benchmarks.cold_model --schedules 200 --first-seed 1 [--fronts 30] [--break ramp]
 
-`--break ramp` turns off the ramp of the controllers, which must be found.
+`--break ramp` turns off the ramp of the controllers, to prove that the bound is checked.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
     may_advise=True,
     max_advice=2.0,
 )
-SCHEDULE_S = 26.0  # a release of new servers, and the time that they take to warm up
-RELEASE_START_S = 6.0
+SCHEDULE_S = 26.0  # the servers are replaced, and the new ones warm up
+REPLACEMENT_START_S = 6.0
 MAX_QUEUE_WAIT_S = 2.5  # a server rejects set-ups that would wait longer
 CALL_S = 9.0
 
@@ -61,7 +61,7 @@
     started: float = 0.0  # 0: before the schedule, so it is warm
     gone_at: float = float("inf")
     busy_until: float = 0.0
-    sent: deque[float] = field(default_factory=deque)  # arrival times within the last window, while cold
+    arrivals: deque[float] = field(default_factory=deque)  # arrival times within the last window, while cold
     max_bound_share: float = 0.0  # most arrivals of a window, as a share of the bound
 
     def share(self, now: float) -> float:
@@ -74,18 +74,18 @@
     def accept(self, now: float) -> float | None:
         """Takes a set-up that arrives now; returns when it is answered, or None if it is rejected."""
         if self.started and now - self.started < SETTINGS.warm_after:
-            self.sent.append(now)
-            while self.sent[0] <= now - SETTINGS.tip_after:
-                self.sent.popleft()
+            self.arrivals.append(now)
+            while self.arrivals[0] <= now - SETTINGS.tip_after:
+                self.arrivals.popleft()
             # The capacity at the start of the window: it only rises.
             capacity = self.share(max(self.started, now - SETTINGS.tip_after)) * self.capacity
             allowed = SETTINGS.tip_multiple * capacity * SETTINGS.tip_after
             self.max_bound_share = max(
-                self.max_bound_share, len(self.sent) / (allowed + 2.0 * sqrt(allowed) + 2.0)
+                self.max_bound_share, len(self.arrivals) / (allowed + 2.0 * sqrt(allowed) + 2.0)
             )
         work = 1.0 / (self.capacity * self.share(now))
         if self.busy_until - now > MAX_QUEUE_WAIT_S:
-            self.busy_until += work / 5.0
+            self.busy_until += work / 5.0  # a rejection takes a fifth of the work
             return None
         self.busy_until = max(self.busy_until, now) + work
         return self.busy_until
@@ -104,7 +104,7 @@
         world = self.world
         settings = replace(SETTINGS, me=self.number, fronts=len(world.controllers))
         self.core = decide.Controller(settings, world.rng.getrandbits(32), world.now)
-        self.up, self.life = True, object()
+        self.up, self.incarnation = True, object()
         self.perform_actions(self.core.start())
         entries = tuple(world.entry(server) for server in world.listed.values())
         self.handle_events(interface.ServerList(interface.ListKind.REMEMBERED, entries))
@@ -116,10 +116,10 @@
 
     def call_later(self, delay: float, event: Callable[[], interface.Event]) -> None:
         """Delivers an event after a delay, unless the process was restarted meanwhile."""
-        life = self.life
+        incarnation = self.incarnation
 
         def deliver() -> None:
-            if self.life is life and self.up:
+            if self.incarnation is incarnation and self.up:
                 self.handle_events(event())
 
         self.world.call_later(delay, deliver)
@@ -168,7 +168,7 @@
     def __init__(self, seed: int, fronts: int) -> None:
         self.rng = rng = random.Random(seed)
         self.now, self._heap, self._event_count = 0.0, [], 0  # type: ignore[var-annotated]
-        # Some controllers get several times the mean.
+        # Some controllers get several times as many calls as the mean.
         shares = [rng.lognormvariate(0.0, 0.7) for _ in range(fronts)]
         self.controllers = [BorderController(self, n, s / sum(shares)) for n, s in enumerate(shares)]
         count = rng.randint(4, 12)
@@ -178,6 +178,7 @@
         self.servers = {f"s{n}": SetupServer(f"s{n}", n, capacity) for n in range(count)}
         self.listed = dict(self.servers)
         self.attempts: dict[str, int] = {}
+        # Call -> controller, number, earlier attempts.
         self.callers: dict[str, tuple[BorderController, int, int]] = {}
         self.replaced = max(1, round(count * rng.uniform(0.3, 0.7)))
         self.restarts = rng.random() < 0.6
@@ -229,7 +230,7 @@
             self.call_later(pause, lambda: self.place_call(controller, number, tries + 1))
 
     def start_traffic(self, controller: BorderController) -> None:
-        """Starts the Poisson arrivals of a controller."""
+        """Starts the Poisson arrivals of calls at a controller."""
 
         def next_call() -> None:
             self.place_call(controller, self.rng.getrandbits(40))
@@ -241,7 +242,7 @@
         """Replaces servers within a few seconds: each drains first, and its successor starts cold."""
         span = self.rng.uniform(0.5, 8.0)
         for old in self.rng.sample(list(self.servers.values()), self.replaced):
-            start, drain_s = RELEASE_START_S + self.rng.uniform(0, span), self.rng.uniform(2.0, 6.0)
+            start, drain_s = REPLACEMENT_START_S + self.rng.uniform(0, span), self.rng.uniform(2.0, 6.0)
             pause = self.rng.uniform(0.0, 3.0)
 
             def drain(old: SetupServer = old, drain_s: float = drain_s) -> None:
@@ -263,7 +264,7 @@
         self.call_later(self.rng.uniform(0.4, 1.2), controller.start)
 
     def run(self) -> dict[str, float]:
-        """Runs the schedule; returns the largest share of the bound that a cold server met, and counts."""
+        """Runs the schedule; returns the largest share of the bound that a cold server got, and counts."""
         for controller in self.controllers:
             controller.start()
             self.start_traffic(controller)
@@ -271,7 +272,7 @@
         if self.restarts:
             for n, controller in enumerate(self.controllers):
                 self.call_later(
-                    RELEASE_START_S + 1.6 * (n * 10 // len(self.controllers)),
+                    REPLACEMENT_START_S + 1.6 * (n * 10 // len(self.controllers)),
                     partial(self.restart, controller),
                 )
         while self._heap and self._heap[0][0] < SCHEDULE_S:
--- a/benchmarks/faultyfiles.py
+++ b/benchmarks/faultyfiles.py
@@ -84,7 +84,7 @@
         self.crash_at: int | None = None  # value of `operations` at which the power fails
         self.operations = 0
         self.locked = False
-        self.lying_sync = False  # syncs are acknowledged and not done, to prove that the tests detect it
+        self.lying_sync = False  # syncs are acknowledged but not done, to prove that the tests detect it
 
     def __str__(self) -> str:
         return "memory"
@@ -118,7 +118,7 @@
         return _Handle(self, self.present[name])
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file, durably."""
+        """Truncates a file, durably."""
         self.operation("truncate", lambda: None)
         file = self.present[name]
         file.durable, file.pending = file.data[:size], []
--- a/benchmarks/fleet_rig.py
+++ b/benchmarks/fleet_rig.py
@@ -33,7 +33,7 @@
 
 FRAME = (100).to_bytes(4, "big") + b"x" * 100  # about the size of a heartbeat
 PING_INTERVAL_S = 0.01  # between two pings of one connection
-WARM_UP_PINGS = 50  # of each connection, while connections and caches warm up
+WARM_UP_PINGS = 50  # first pings of each connection, not counted: connections and caches warm up
 
 
 def table(instances: int, seconds: float) -> dict[str, Any]:
@@ -85,7 +85,7 @@
     for connection in connections:
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     done = threading.Event()
-    threading.Thread(target=_until_closed, args=(done,), daemon=True).start()
+    threading.Thread(target=_wait_for_stdin_end, args=(done,), daemon=True).start()
     round_trips: list[list[float]] = [[], []]
     while not done.is_set():
         for connection, times in zip(connections, round_trips, strict=True):
@@ -100,7 +100,7 @@
     return 0
 
 
-def _until_closed(done: threading.Event) -> None:
+def _wait_for_stdin_end(done: threading.Event) -> None:
     sys.stdin.read()
     done.set()
 
@@ -133,7 +133,7 @@
         async with await anyio.open_process(command, cwd=ROOT, stderr=None, stdin=subprocess.PIPE) as process:
             assert process.stdin and process.stdout
             port = int((await process.stdout.receive()).decode())
-            # Faults of "*" do not affect links of the tool.
+            # A link of the operator's tool, which faults of "*" do not affect.
             relay_port = await runner.relay.port("echo", port, TOOL)
             await process.stdin.send(f"{relay_port}\n".encode())
             began, cpu_before = time.monotonic(), _cpu_seconds()
--- a/benchmarks/fleet_world.py
+++ b/benchmarks/fleet_world.py
@@ -1,7 +1,7 @@
 """Seeded simulation of a fleet whose instances agree through the store's log and act under its leases.
 
-The log itself is assumed to be correct (`benchmarks/store_model.py` checks that): a single order of entries,
-of which a majority keeps those that are committed. `Lease` and `Grants` are the production classes. They run
+The log itself is assumed to be correct (`benchmarks/store_model.py` checks that): a single sequence of
+committed entries, of which none is lost. `Lease` and `Grants` are the production classes. They run
 under faults: clocks of different rates, lost and late messages, one-way cuts, paused and killed instances,
 and deposed leaders that do not know it. A subclass of `World` defines the replicated state, what a leader
 proposes and what an instance does.
@@ -142,7 +142,7 @@
         heapq.heappush(self._heap, (when, self._event_count, work))
 
     def send(self, sender: str, receiver: str, work: Callable[[], None]) -> None:
-        """Delivers a message: lost, delayed, or held back while its receiver is paused."""
+        """Sends a message: it may be lost, is delayed, and is held back while its receiver is paused."""
         if sender != receiver and ((sender, receiver) in self.cut_links or self.rng.random() < self.loss):
             return
         wait = 0.0 if sender == receiver else self.rng.uniform(0.001, self.max_delay)
@@ -230,7 +230,7 @@
             self._commit(command)
 
     def _catch_up(self, name: str) -> None:
-        """Applies the committed entries and reports the index to the leader, as the node does."""
+        """Applies the committed entries and reports the index to the leader, as the store's `Node` does."""
         instance = self.instances[name]
         while instance.applied < len(self.log):
             instance.applied += 1
@@ -289,7 +289,7 @@
         receiver.grants.record_adopted(name, applied)
         receiver.grants.record_lease(name, receiver.clock(self.now))
         wait = self.rng.uniform(0.002, self.max_delay)  # the quorum round that confirms its leadership
-        # The entries that are committed when the round begins.
+        # The index that is committed when the round begins.
         index = receiver.applied if leader != self.true_leader else len(self.log)
         self.call_at(self.now + wait, partial(self._grant_lease, leader, name, number, index))
 
@@ -398,7 +398,9 @@
     enough: bool,
     **fields: object,
 ) -> int:
-    """Prints up to five violations and the JSON line of a model; returns the exit code."""
+    """Prints up to five violations and the JSON line of a model; returns the exit code.
+
+    `enough`: whether the schedules exercised the checked rules often enough."""
     total, violations, run_count, seconds = result
     for text in violations[:5]:
         print(text, file=sys.stderr)
--- a/benchmarks/gap_auto.py
+++ b/benchmarks/gap_auto.py
@@ -1,4 +1,4 @@
-"""Floods of failing calls to one number of a real fleet: automatic gaps are set, held, eased and ended.
+"""Floods of failing calls to one number of a real fleet: automatic gaps are set, held, relaxed and ended.
 
 Each flood comes with a fault: the leader is killed, an instance is paused, or part of the fleet is cut off.
 
@@ -25,25 +25,25 @@
 from harepick.gapping.detector import AVERAGING_TIME_S
 
 LEASE_S = 1.0
-AFTER_S, TTL_S, INTERVAL_S = 0.5, 2.0, 0.5
+AFTER_S, TTL_S, INTERVAL_S = 0.5, 2.0, 0.5  # `after_s`, `ttl_s` and `interval_s` of [autogap]
 THRESHOLD_PER_S = 40.0
 BUSY_NUMBER, OTHER_PREFIX = "+94112345678", "+9455"
 # Start of the first flood, time from one to the next, and length of each.
 FIRST_FLOOD_S, FLOOD_PERIOD_S, FLOOD_LENGTH_S = 4.0, 26.0, 8.0
 LOOKUPS_PER_S, FLOOD_FACTOR = 20.0, 10.0  # look-ups per second of the whole load, and its factor in a flood
-# From the start of a flood until its gap is set: the demand has to be measured (an average over one second),
-# reported (with the next lease request) and to last for `AFTER_S`. If the leader is lost at that moment, its
-# lease has to expire, an election follows, and the new leader waits before it decides anything.
+# From the start of a flood until its gap is set: the averaged demand has to reach the threshold (within a
+# second), to be reported (with the next lease request) and to last for `AFTER_S`. If the leader is lost at
+# that moment, its lease has to expire, an election follows, and the new leader waits before it decides
+# anything.
 SET_BOUND_S = 1.0 + 0.5 * LEASE_S + AFTER_S + 0.5
 SET_BOUND_LEADER_LOST_S = SET_BOUND_S + 1.1 * LEASE_S + 2.0 + 1.1 * LEASE_S
-# From the end of a flood until its gap has ended: the remembered demand fades to the share of `per_s` that
+# From the end of a flood until its gap has ended: the averaged demand decays to the share of `per_s` that
 # still holds a gap (`HOLD_DEMAND`), the gap is relaxed in steps, each a little shorter than the time to live,
 # and the last step expires; one second is for commits. If the leader is lost, the time to live starts again
 # after an election.
-# Look-ups per second to the busy number.
-CALM_PER_S, FLOOD_PER_S = LOOKUPS_PER_S / 2, LOOKUPS_PER_S * FLOOD_FACTOR / 2
-FADE_S = AVERAGING_TIME_S * log((FLOOD_PER_S - CALM_PER_S) / (HOLD_DEMAND * THRESHOLD_PER_S - CALM_PER_S))
-END_BOUND_S = FADE_S + (RELAX_STEPS * (1 - RENEW_AGE / 4) + 1) * TTL_S + 1.0
+CALM_PER_S, FLOOD_PER_S = LOOKUPS_PER_S / 2, LOOKUPS_PER_S * FLOOD_FACTOR / 2  # look-ups to the busy number
+DECAY_S = AVERAGING_TIME_S * log((FLOOD_PER_S - CALM_PER_S) / (HOLD_DEMAND * THRESHOLD_PER_S - CALM_PER_S))
+END_BOUND_S = DECAY_S + (RELAX_STEPS * (1 - RENEW_AGE / 4) + 1) * TTL_S + 1.0
 END_BOUND_LEADER_LOST_S = END_BOUND_S + TTL_S + 2.2 * LEASE_S + 2.0
 
 
--- a/benchmarks/gap_cost.py
+++ b/benchmarks/gap_cost.py
@@ -37,7 +37,7 @@
     rng = Random(options.seed)
     calls = [Call("+9" + "".join(rng.choices("0123456789", k=10)), "claim") for _ in range(2_000)]
     line: dict[str, object] = {"benchmark": "gap_cost", "seed": options.seed}
-    slowest_us = 0.0
+    median_us = 0.0
     for count in (0, 1_000, 100_000):
         tracemalloc.start()
         gaps = make_gaps(count, Random(options.seed))
@@ -52,8 +52,8 @@
             decision_times_us.append((time.perf_counter() - began) / len(calls) * 1e6)
         decision_times_us.sort()
         line[f"decision_us_{count}"] = round(decision_times_us[len(decision_times_us) // 2], 2)
-        slowest_us = decision_times_us[len(decision_times_us) // 2]
-    return print_line(line | {"aim_us": AIM_US, "ok": slowest_us < AIM_US})
+        median_us = decision_times_us[len(decision_times_us) // 2]
+    return print_line(line | {"aim_us": AIM_US, "ok": median_us < AIM_US})
 
 
 if __name__ == "__main__":
--- a/benchmarks/gap_fleet.py
+++ b/benchmarks/gap_fleet.py
@@ -25,12 +25,12 @@
 LEASE_S = 1.0
 GAPPED_PREFIX, OTHER_PREFIX = "+9411", "+9455"
 SETTLE_S = 3.0  # after a fault, while slots move between instances
-# To gapped numbers, over the fleet.
+# To gapped numbers, over the fleet, by kind of demand.
 LOOKUPS_PER_S = {"even": 60.0, "skewed": 60.0, "thin": 6.0}
 
 
 def table(instances: int, seconds: float, seed: int, interval: float, demand: str) -> dict[str, Any]:
-    """The scenario: the demand asked for, and faults of each kind in turn."""
+    """The scenario: look-ups with the given kind of demand, and faults of each kind in turn."""
     rng = Random(seed)
     kinds: list[dict[str, Any]] = [
         {"kind": "kill", "whom": "follower"},
--- a/benchmarks/gap_load.py
+++ b/benchmarks/gap_load.py
@@ -36,7 +36,7 @@
 
 ROOT = Path(__file__).parent.parent
 FLOODED_NUMBER = b"7f3a9c21e0b4d655"
-CALL_S = 1.0  # that a call stands before the server ends it
+CALL_S = 1.0  # seconds that a call stands before the server ends it
 CONNECTIONS = 8
 LOG_RESOLUTION_S = 0.001  # to which times in the log are rounded
 
@@ -178,7 +178,7 @@
             "settings": options,
         }
 
-    def start(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
+    def launch_options(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
         """The configuration file, and the arguments and environment to start the program with."""
         path = folder / "config.json"
         return path, [], {"GW_CONFIG": str(path)}
@@ -198,12 +198,12 @@
 
     @staticmethod
     def served(answer: tuple[float, int, int]) -> bool:
-        """Whether the answer is a standing call."""
+        """Whether the answer is that the call stands."""
         return answer[1] == binary.ANSWER
 
     @staticmethod
     def refused(answer: tuple[float, int, int]) -> bool:
-        """Whether the answer is the refusal of a gap."""
+        """Whether the answer is a refusal by a gap."""
         return answer[1] == binary.RELEASE and answer[2] == 42
 
     def count_wasted(self, callers: Callers, refused: set[bytes]) -> int:
@@ -230,7 +230,7 @@
     rng = random.Random(options.seed)
     front = FRONTS[options.front]()
     with tempfile.TemporaryDirectory() as folder:
-        path, arguments, environ = front.start(Path(folder))
+        path, arguments, environ = front.launch_options(Path(folder))
         log = Path(folder) / "log"
         front.write(path, None)
         with log.open("wb") as log_file:
--- a/benchmarks/gap_load_enum.py
+++ b/benchmarks/gap_load_enum.py
@@ -94,7 +94,7 @@
         self.server.start()
         self.port = free_port()
 
-    def start(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
+    def launch_options(self, folder: Path) -> tuple[Path, list[str], dict[str, str]]:
         """The operator's file, and the arguments and environment to start the program with."""
         path = folder / "enum.toml"
         return path, ["--operator", str(path)], {}
--- a/benchmarks/heal_fleet.py
+++ b/benchmarks/heal_fleet.py
@@ -27,7 +27,7 @@
 FIRST_ROUND_S, ROUND_S = 2.0, 24.0
 # The third instance is lost this long after the first two, which are dropped by then. If the leader was one
 # of them, a lease, an election and the new leader's wait come first; then `DROP_AFTER_S`, and for each
-# instance three commits and a few rounds of the manager.
+# instance three commits and a few rounds of the membership manager.
 THIRD_LOSS_S = 7.0
 RETURN_S = 18.0  # when all come back
 # From here on changes must succeed: the loss of the third takes an election, and if it was the leader and is
--- a/benchmarks/heal_model.py
+++ b/benchmarks/heal_model.py
@@ -1,8 +1,8 @@
 """Simulates a fleet that drops lost members from the store's voters and takes them back.
 
 This is the simulation of `benchmarks/store_model.py` with the membership policy at work in the leader and
-with instances that stay away for long. Beside the invariants of the store it checks that dropping a member
-leaves `keep` voters and a majority of them present, and that all vote again once all faults are over.
+with instances that are down for a long time. Beside the invariants of the store it checks that dropping a
+member leaves `keep` voters and a majority of them present, and that all vote again once all faults are over.
 
     python -m benchmarks.heal_model --seeds 1000 --first-seed 1
 """
@@ -90,7 +90,7 @@
         """No operator changes the members here: only the fleet does."""
 
     def _lose_host(self) -> None:
-        """Takes away one host after another for long, at times until no majority is left."""
+        """Stops one host after another for a long time, at times until no majority is left."""
         if self.healed:
             return
         self.call_later(self.rng.uniform(1.5, 4.0), self._lose_host)
@@ -175,7 +175,7 @@
 def run_until_healed(
     seed: int, seconds: float = 20.0, world_class: type[HealingWorld] = HealingWorld
 ) -> HealingWorld:
-    """Runs one world; all have to vote again some time after the faults. Raises `ViolationError`."""
+    """Runs one world; at its end, after the faults, all must vote again. Raises `ViolationError`."""
     healed_world = run_world(seed, REPLICAS, seconds, world_class)
     assert isinstance(healed_world, HealingWorld)
     healed_world.run_until(seconds + 12.0 + 3 * MEAN_ABSENCE_S + 10 * LEASE_S)
@@ -189,19 +189,19 @@
     return healed_world
 
 
-def _broken_world(kind: str) -> type[HealingWorld]:
-    return type(kind, (HealingWorld,), {"broken": kind})
+def _broken_world(broken: str) -> type[HealingWorld]:
+    return type(broken, (HealingWorld,), {"broken": broken})
 
 
-def schedule(seed: int, kind: str = "", seconds: float = 20.0) -> tuple[dict[str, int], str]:
+def schedule(seed: int, broken: str = "", seconds: float = 20.0) -> tuple[dict[str, int], str]:
     """Runs one seed; returns its statistics and the violation found, or an empty text."""
-    return _run_job((seed, kind, seconds))[1:]
+    return _run_job((seed, broken, seconds))[1:]
 
 
 def _run_job(job: tuple[int, str, float]) -> Result:
-    seed, kind, seconds = job
+    seed, broken, seconds = job
     return run_seed(
-        seed, lambda: run_until_healed(seed, seconds, _broken_world(kind) if kind else HealingWorld)
+        seed, lambda: run_until_healed(seed, seconds, _broken_world(broken) if broken else HealingWorld)
     )
 
 
@@ -209,7 +209,7 @@
     parser = arguments(__doc__)
     parser.add_argument(
         "--break",
-        dest="kind",
+        dest="broken",
         choices=BREAKS,
         default="",
         help="break a rule on purpose, to prove that it is checked",
@@ -218,7 +218,7 @@
     began = time.monotonic()
     seeds = range(options.first_seed, options.first_seed + options.seeds)
     with ProcessPoolExecutor(options.processes) as pool:
-        jobs = [(seed, options.kind, options.seconds) for seed in seeds]
+        jobs = [(seed, options.broken, options.seconds) for seed in seeds]
         totals, violations = sum_results(list(pool.map(_run_job, jobs, chunksize=4)), "fewest")
     enough = totals.get("dropped", 0) > options.seeds and totals.get("taken_back", 0) > options.seeds
     line = {
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -116,7 +116,7 @@
 
 
 async def issue_verdicts(runner: ScenarioRunner) -> None:
-    """Issues a verdict that a server has failed every few seconds.
+    """Every few seconds issues a verdict that a server has failed.
 
     Every third time the leader is killed at the same moment."""
     rng = Random(runner.seed)
--- a/benchmarks/limit_model.py
+++ b/benchmarks/limit_model.py
@@ -60,12 +60,12 @@
         self.buckets: dict[str, LimitBuckets] = {}
         self.state_copies: dict[str, Shares] = {}  # copies that buckets follow; new after a restart
         self.applied_versions: dict[str, int] = {}
-        # Instance -> demand by limit, as the leader was told last.
+        # Instance -> demand by limit, as last reported to the leader.
         self.reported_demand: dict[str, Mapping[str, float]] = {}
         self.recent_admissions: deque[float] = deque()
         self.admitted = self.offered = self.splits = 0
         self.max_bound_share = 0.0  # largest number of admissions in a window, as a share of the bound
-        self.calls = OFFERED_LOAD * LIMIT_PER_S  # offered per second, over all instances
+        self.offered_per_s = OFFERED_LOAD * LIMIT_PER_S  # calls, over all instances
 
     def new_buckets(self) -> LimitBuckets:
         """The token buckets of a new process."""
@@ -140,7 +140,7 @@
         self._check_shares()
         buckets, clock = self.buckets[instance.name], instance.clock(self.now)
         weight = self.skew[instance.name] / sum(self.skew.values())
-        calls = self.calls * TICK_S * weight
+        calls = self.offered_per_s * TICK_S * weight
         for _ in range(int(calls) + (self.rng.random() < calls % 1)):
             self.offered += 1
             caller = self.draw_caller()
@@ -206,7 +206,7 @@
         super().__init__(seed, broken)
         self.admissions_by_caller: dict[str, deque[float]] = {}
         self.table_size = self.rng.choice(TABLE_SIZES)
-        self.calls = 2 * OFFERED_LOAD * LIMIT_PER_S
+        self.offered_per_s = 2 * OFFERED_LOAD * LIMIT_PER_S
 
     def new_buckets(self) -> LimitBuckets:
         bucket_class = _Forgetful if self.broken == "forgetful" else CallerBuckets
--- a/benchmarks/maint_fleet.py
+++ b/benchmarks/maint_fleet.py
@@ -2,8 +2,8 @@
 
 The operator's tool requests maintenance of all machines at once, restarts or leaves alone each one that is
 out, and reports when it is done; the instances decide the order. Callers follow the readiness of the
-instances, servers fail, and the settings of maintenance change meanwhile. Checked is what the fake servers
-received and what the instances recorded.
+instances, servers fail, and the settings of maintenance change meanwhile. The checks use what the fake
+servers received and what the instances recorded.
 
     python -m benchmarks.maint_fleet --instances 5 --servers 6 --seconds 120 --seed 1
 """
--- a/benchmarks/maint_model.py
+++ b/benchmarks/maint_model.py
@@ -49,7 +49,7 @@
     def __init__(self, orders: Orders) -> None:
         self.orders = orders  # its copy of the orders: a restarted process has a new one
         self.handover = Handover()
-        self.served = False
+        self.served = False  # whether this process has taken a call
         self.calls: list[float] = []  # end of each, by the instance's clock
 
 
@@ -72,7 +72,7 @@
             self.handover_calls
         ) = 0
         self.processes: dict[str, Process] = {}
-        self.handover_s = self.rng.choice((0.0, 0.1, 0.4))  # seconds that callers have to move
+        self.handover_s = self.rng.choice((0.0, 0.1, 0.4))  # seconds that callers have to move away
 
     def initial_state(self) -> Orders:
         return _Unguarded() if self.broken == "unguarded" else Orders()
@@ -177,7 +177,7 @@
             self.send(instance.name, leader, lambda: self.propose(leader, report))
 
     def act(self, instance: Instance[Orders]) -> None:
-        """Takes a new call unless its handover forbids it, and sends to a server for one that is open."""
+        """Takes a new call unless its handover forbids it, and sends to a server for an open call."""
         process, clock = self._process(instance), instance.clock(self.now)
         stage = process.handover.stage(clock)
         if stage not in CLOSED_STAGES:
@@ -187,10 +187,10 @@
                 process.calls.append(clock + self.rng.uniform(0.0, MAX_CALL_S))
         if stage == OUT or not process.calls:
             return
-        open_to = [name for name in SERVERS if name not in instance.state.excluded(SERVER)]
-        if not open_to:
+        in_service = [name for name in SERVERS if name not in instance.state.excluded(SERVER)]
+        if not in_service:
             raise Violation(f"{self.now:.3f}: {instance.name} has no server to send to")
-        server = self.rng.choice(open_to)
+        server = self.rng.choice(in_service)
         self.acts += 1
         if (order := self.committed_state.open_order(SERVER, server)) and order.state == "out":
             act = f"{instance.name} sent to {server} on version {instance.state.version}"
--- a/benchmarks/store_chaos.py
+++ b/benchmarks/store_chaos.py
@@ -110,7 +110,7 @@
         self._due.clear()
 
     def majority(self, start: float, end: float) -> bool:
-        """Whether more than half were running all the time between; a starting instance counts as away."""
+        """Whether more than half were running all the time from `start` to `end`; a starting one is away."""
         intervals = [interval for intervals in self.absences.values() for interval in intervals]
         moments = [start, *(since for since, _ in intervals if start <= since <= end)]
         away_counts = [sum(since <= moment < back for since, back in intervals) for moment in moments]
@@ -178,7 +178,7 @@
         changer.done.set()
         changer.join(30)
         for load_generator in load_generators.values():
-            load_generator.rate = 0.001
+            load_generator.rate = 0.001  # sends no more
         time.sleep(MAX_ANSWER_S)
         for load_generator in load_generators.values():
             load_generator.finish()
@@ -208,7 +208,9 @@
     revisions = {row["note"]: row["revision"] for row in history}
     oldest = min((int(str(row["revision"])) for row in history), default=0)
     lost = [n for _, n, revision in acks if revision >= oldest and revisions.get(f"n={n}") != revision]
-    doubled = len([acked for _, _, acked in acks]) - len({acked for _, _, acked in acks})
+    doubled = len([acked_revision for _, _, acked_revision in acks]) - len(
+        {acked_revision for _, _, acked_revision in acks}
+    )
     times = [when for when, *_ in acks]
     stale = []
     for when, upstream in arrivals:
@@ -234,17 +236,17 @@
                 continue  # the instance was not running all the time
             judged += 1
             unanswered += answer is None
-    gaps, majority_gaps = [], []
+    unavailable_ms, majority_unavailable_ms = [], []
     for loss in faults.losses:
-        first = next(
+        next_ack = next(
             (began + took for began, took in changer.took if began + took > loss),
             None,
         )
-        if first is None:
+        if next_ack is None:
             continue
-        gaps.append((first - loss) * 1000)
-        if faults.majority(loss, first):
-            majority_gaps.append(gaps[-1])
+        unavailable_ms.append((next_ack - loss) * 1000)
+        if faults.majority(loss, next_ack):
+            majority_unavailable_ms.append(unavailable_ms[-1])
     took = [duration * 1000 for _, duration in changer.took]
     for row in stale[:5]:
         print(f"stale: {row}", file=sys.stderr)
@@ -274,10 +276,10 @@
             "answered_twice": sum(generator.repeated for generator in load_generators.values()),
             "change_ms_p50": round(percentile(took, 0.5), 1),
             "change_ms_p99": round(percentile(took, 0.99), 1),
-            "losses_with_majority": len(majority_gaps),
-            "unavailable_ms_p50": round(percentile(majority_gaps, 0.5), 1),
-            "unavailable_ms_p99": round(percentile(majority_gaps, 0.99), 1),
-            "unavailable_any_ms_p99": round(percentile(gaps, 0.99), 1),
+            "losses_with_majority": len(majority_unavailable_ms),
+            "unavailable_ms_p50": round(percentile(majority_unavailable_ms, 0.5), 1),
+            "unavailable_ms_p99": round(percentile(majority_unavailable_ms, 0.99), 1),
+            "unavailable_any_ms_p99": round(percentile(unavailable_ms, 0.99), 1),
             "stopped": len(stopped),
             "error": changer.failed,
         }
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -95,7 +95,7 @@
     load_generator = LookupGenerator(port, LOOKUPS_PER_S, seed)
     load_generator.start()
     time.sleep(seconds)
-    load_generator.rate = 0.001
+    load_generator.rate = 0.001  # sends no more
     load_generator.finish(0.3)
     times = [
         (answered_at - load_generator.sent[number]) * 1000
@@ -256,11 +256,13 @@
     finally:
         without_store.kill()
         cluster.end()
-    starts, sizes = {}, {}
+    restart_s, restart_memory_mb = {}, {}
     for entries in (100, 10_000, 100_000):
-        starts[entries], sizes[entries] = measure_restart(entries, folder, (spare[0], spare[1]), text)
+        restart_s[entries], restart_memory_mb[entries] = measure_restart(
+            entries, folder, (spare[0], spare[1]), text
+        )
     upstreams.finish()
-    return report(options, times, unserved, changes, memory, losses, cold, starts, sizes)
+    return report(options, times, unserved, changes, memory, losses, cold, restart_s, restart_memory_mb)
 
 
 def report(
@@ -271,8 +273,8 @@
     memory: dict[str, float],
     losses: list[tuple[float, float]],
     cold: float,
-    starts: dict[int, float],
-    sizes: dict[int, float],
+    restart_s: dict[int, float],
+    restart_memory_mb: dict[int, float],
 ) -> int:
     """Prints the result with the aims that were missed; returns the exit code."""
     rounded: Callable[[list[float], float], float] = lambda v, s: round(percentile(v, s), 2)  # noqa: E731
@@ -296,8 +298,8 @@
         "new_leader_ms": [round(new_leader_ms) for new_leader_ms, _ in losses],
         "change_after_loss_ms": [round(change_ms) for _, change_ms in losses],
         "two_cold_s": round(cold, 2),
-        "restart_s": {str(n): round(s, 2) for n, s in starts.items()},
-        "restart_memory_mb": {str(n): round(s, 1) for n, s in sizes.items()},
+        "restart_s": {str(n): round(s, 2) for n, s in restart_s.items()},
+        "restart_memory_mb": {str(n): round(s, 1) for n, s in restart_memory_mb.items()},
         "memory_mb": {k: round(v, 1) for k, v in memory.items()},
     }
     aims = {
@@ -306,7 +308,7 @@
         "change_p99_50ms": percentile(changes["changes"], 0.99) <= 50.0,
         "new_leader_1500ms": max(new_leader_ms for new_leader_ms, _ in losses) <= 1500,
         "two_cold_3s": cold <= 3.0,
-        "entries_100000_2s": starts[100_000] <= 2.0,
+        "entries_100000_2s": restart_s[100_000] <= 2.0,
     }
     missed = [name for name, held in aims.items() if not held]
     return print_line(line | {"missed": missed, "ok": not missed})
--- a/benchmarks/store_model.py
+++ b/benchmarks/store_model.py
@@ -1,10 +1,10 @@
 """Seeded simulation of the replicated store under faults of the network, the processes and the disks.
 
 Messages are lost, repeated and reordered, links are cut (also one way), processes crash and pause, and
-members come and go. The consensus core, log, state machine and leases are the production code, on a faulty
-file layer. Checked in every step: one leader per term, matching logs, no committed entry lost, entries
-applied once and in order, reads that see what was acknowledged, and no act on a configuration older than the
-last acknowledged one.
+members are added and removed. The consensus core, log, state machine and leases are the production code, on
+a faulty file layer. Checked in every step: one leader per term, matching logs, no committed entry lost,
+entries applied once and in order, reads that see what was acknowledged, and no act on a configuration older
+than the last acknowledged one.
 
     python -m benchmarks.store_model --seeds 200 --first-seed 1
 """
@@ -96,8 +96,8 @@
         self.committed: dict[int, tuple[int, bytes]] = {}  # index -> term, data
         self.committed_in: dict[int, int] = {}  # index -> term of the leader that committed it
         self.acknowledged = 0  # highest acknowledged revision
-        self.acknowledged_texts: dict[str, int] = {}
-        self.applied_texts: dict[str, int] = {}
+        self.acknowledged_texts: dict[str, int] = {}  # text -> revision
+        self.applied_texts: dict[str, int] = {}  # text -> revision
         self.requests: list[Request] = []
         self.sessions = 0
         names = [f"r{n}" for n in range(replicas)]
@@ -377,7 +377,7 @@
                 for other in rng.sample(list(self.hosts.values()), 2):
                     if other.node:
                         self._crash(other, power=rng.random() < 0.5)
-            case "at" if host.node:  # in the middle of a later write
+            case "at" if host.node:  # power fails in one of its next 20 file operations
                 host.files.crash_at = host.files.operations + rng.randint(1, 20)
             case "pause" if host.node and not host.paused:
                 self._pause(host)
