--- a/benchmarks/cold_model.py
+++ b/benchmarks/cold_model.py
@@ -92,7 +92,7 @@
 
 
 class BorderController:
-    """One border controller around its decision core."""
+    """One border controller around its decision core; `share` is its part of all calls."""
 
     def __init__(self, world: World, number: int, share: float) -> None:
         self.world, self.number, self.share = world, number, share
@@ -180,8 +180,8 @@
         self.attempts: dict[str, int] = {}
         # Call -> controller, number, earlier attempts.
         self.callers: dict[str, tuple[BorderController, int, int]] = {}
-        self.replaced = max(1, round(count * rng.uniform(0.3, 0.7)))
-        self.restarts = rng.random() < 0.6
+        self.replaced = max(1, round(count * rng.uniform(0.3, 0.7)))  # number of servers to replace
+        self.restarts = rng.random() < 0.6  # whether the controllers restart meanwhile
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
         """Runs a callback after a delay, in seconds of the world."""
--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -135,6 +135,7 @@
         self.first = folder / "first.toml"
         self.first.write_text(first)
         ports = free_ports(2 * count)
+        # (name, DNS port, store port) of each.
         self.rows = [(f"r{n}", ports[2 * n], ports[2 * n + 1]) for n in range(count)]
         self.proxies = {name: Proxy(port) for name, _, port in self.rows} if proxies else {}
         self.daemons = [self._daemon(*row, members=True) for row in self.rows]
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -147,8 +147,8 @@
 
 def used_share(report: Report, admitted: Sequence[Event], start: float, end: float) -> float:
     """Share of the limit that was used between two times, in seconds from the start."""
-    count = sum(start <= event.mono - report.start < end for event in admitted)
-    return count / (LIMIT_PER_S * (end - start)) if end > start else 0.0
+    calls = sum(start <= event.mono - report.start < end for event in admitted)
+    return calls / (LIMIT_PER_S * (end - start)) if end > start else 0.0
 
 
 def caller_share(admitted: Sequence[Event], seconds: float) -> float:
--- a/benchmarks/path_cost.py
+++ b/benchmarks/path_cost.py
@@ -1,7 +1,7 @@
 """Measures the cost of an ordinary call in the core, compared with another checkout of the program.
 
-A look-up is offered, sent to a fake port, answered and over; no gap, limit or verdict is set. The two
-checkouts run by turns in processes of their own; the result is the ratio of their medians.
+A look-up is offered, sent to a fake `ServersPort`, answered and over; no gap, limit or verdict is set. The
+two checkouts run in turn, each time in a process of its own; the result is the ratio of their medians.
 
     python -m benchmarks.path_cost --against ../before --rounds 15
 """
--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -1,4 +1,4 @@
-"""Measures what the store costs: look-ups without it, with it idle, under changes, with a follower stopped.
+"""Measures what the store costs: look-ups without it, with it idle, under changes, with a follower paused.
 
 All modes alternate in one run. It also measures how long a change takes, how long a cluster is without a
 leader, and how long starts take.
