--- a/harepick/fleet/limits/screen.py
+++ b/harepick/fleet/limits/screen.py
@@ -39,7 +39,7 @@
             self.blocked_calls += 1
             return DEFAULT_RETRY_S
         if self.detector is not None:
-            self.detector.offered(called_number, self._clock())
+            self.detector.count_offered(called_number, self._clock())
         if not self.buckets and not self.gaps:
             return None
         wait, limit_keys = self.buckets.take_tokens(called_number, class_name, source, self._clock())
@@ -57,4 +57,4 @@
     def record_outcome(self, called_number: str, succeeded: bool) -> None:
         """Reports the outcome of a call to the detector."""
         if self.detector is not None:
-            self.detector.ended(called_number, succeeded, self._clock())
+            self.detector.count_ended(called_number, succeeded, self._clock())
--- a/harepick/gapping/detector.py
+++ b/harepick/gapping/detector.py
@@ -57,7 +57,7 @@
             heapq.heapify(self._heap)
         return exp((now - self._reference_time) / AVERAGING_TIME_S)
 
-    def offered(self, number: str, now: float) -> None:
+    def count_offered(self, number: str, now: float) -> None:
         """Counts a call to that number, whatever its outcome will be."""
         weight = self._weight(now)
         counter = self._counters.get(number)
@@ -78,7 +78,7 @@
                 return counter.offered
             heapq.heappush(self._heap, (counter.offered, number))  # its weight has grown since
 
-    def ended(self, number: str, succeeded: bool, now: float) -> None:
+    def count_ended(self, number: str, succeeded: bool, now: float) -> None:
         """Counts the outcome of a call to that number."""
         if not succeeded and (counter := self._counters.get(number)):
             counter.failed += self._weight(now)
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -48,7 +48,7 @@
         weights = {number: weight * exp(-elapsed / AVERAGING_TIME_S) for number, weight in weights.items()}
         number = f"+{n}"
         weights[number] = weights.get(number, 0.0) + 1.0
-        detector.offered(number, now)
+        detector.count_offered(number, now)
         assert len(detector) <= capacity
     total = sum(weights.values())
     for number, weight in weights.items():
@@ -62,15 +62,15 @@
     for n in range(20_000):  # 1,000 calls per second, one in twenty to the hot number
         now = n / 1000
         number = HOT_NUMBER if n % 20 == 0 else f"+9{n:09d}"
-        detector.offered(number, now)
-        detector.ended(number, n % 40 == 0, now)
+        detector.count_offered(number, now)
+        detector.count_ended(number, n % 40 == 0, now)
     rates = detector.heaviest(now, 5.0)
     assert rates.keys() == {HOT_NUMBER}
     offered, failed = rates[HOT_NUMBER]
     assert 30 < offered < 55 and failed == pytest.approx(offered / 2, rel=0.3)
     # Long after the weights got a new reference time.
     later = now + 3 * RESCALE_AFTER * AVERAGING_TIME_S
-    detector.offered(HOT_NUMBER, later)
+    detector.count_offered(HOT_NUMBER, later)
     assert detector.rate(HOT_NUMBER, later)[0] == pytest.approx(1 / AVERAGING_TIME_S, rel=0.01)
 
 
