--- a/harepick/ops/exposition.py
+++ b/harepick/ops/exposition.py
@@ -59,22 +59,24 @@
         yield requests
         yield CounterMetricFamily(
             PREFIX + "upstream_requests",
-            "Set-ups written whole to setup servers.",
+            "Set-ups written completely to setup servers.",
             value=telemetry.upstream_requests,
         )
         yield GaugeMetricFamily(
             PREFIX + "pending",
-            "Requests taken and not ended: unanswered or standing.",
+            "Requests accepted and not ended: unanswered or standing.",
             value=telemetry.pending,
         )
         yield GaugeMetricFamily(PREFIX + "members", "Setup servers in the list.", value=telemetry.members)
         yield GaugeMetricFamily(
             PREFIX + "members_unavailable",
-            "Listed setup servers that fresh requests avoid now.",
+            "Listed setup servers that get no new requests now.",
             value=telemetry.members_unavailable,
         )
         yield CounterMetricFamily(
-            PREFIX + "config_reloads", "Configuration files taken at SIGHUP.", value=telemetry.config_reloads
+            PREFIX + "config_reloads",
+            "Configuration files applied at SIGHUP.",
+            value=telemetry.config_reloads,
         )
         gap_calls = CounterMetricFamily(
             PREFIX + "gap_calls",
@@ -87,7 +89,7 @@
         yield gap_calls
         yield CounterMetricFamily(
             PREFIX + "config_reload_errors",
-            "Configuration files turned down at SIGHUP.",
+            "Configuration files rejected at SIGHUP.",
             value=telemetry.config_reload_errors,
         )
 
