--- a/harepick/enumdns/listener.py
+++ b/harepick/enumdns/listener.py
@@ -15,6 +15,7 @@
 from functools import partial
 
 import anyio
+import dns.exception
 import dns.message
 import dns.name
 import dns.rcode
