--- a/harepick/cli/gap.py
+++ b/harepick/cli/gap.py
@@ -116,11 +116,11 @@
         number, call_class, time.time()
     )
     lines = [
-        f"{g.id}: {'the last that counts, it does not inherit' if not g.inherit else 'counts'}"
+        f"{g.id}: {'the last that applies, it does not inherit' if not g.inherit else 'applies'}"
         for g in matching
     ]
     answer = {"ok": True, "number": number, "gaps": [g.id for g in matching]}
-    store.print_result(answer, "\n".join(lines) or f"{number} meets no gap")
+    store.print_result(answer, "\n".join(lines) or f"no gap applies to {number}")
 
 
 def _parse_interval(context: click.Context, option: click.Parameter, value: str) -> float | str:
@@ -129,7 +129,7 @@
     try:
         return float(value)
     except ValueError:
-        raise click.BadParameter(f"no number of seconds, nor 'none': {value!r}") from None
+        raise click.BadParameter(f"neither a number of seconds nor 'none': {value!r}") from None
 
 
 @gap.command("set", epilog=EXIT_CODES)
--- a/harepick/cli/limit.py
+++ b/harepick/cli/limit.py
@@ -112,7 +112,7 @@
         )
     for caller, caller_shares in sorted(row["callers"].items()):
         shares = ", ".join(f"{name} {share:.2f}" for name, share in sorted(caller_shares.items()))
-        lines.append(f"    {caller} by name: {shares or 'no shares yet'}")
+        lines.append(f"    caller {caller}: {shares or 'no shares yet'}")
     lines.append(f"    free: {row['free']:.2f}/s")
     store.print_result(row, "\n".join(lines))
 
@@ -140,7 +140,7 @@
     lines = [_format_limit(row) for row in found["limits"] if row["id"] in matching]
     lines += [f"a verdict blocks callers of {subject}" for subject in blocked]
     answer = {"number": number, "limits": matching, "blocked": blocked}
-    store.print_result(answer, "\n".join(lines) or f"{number} meets no limit")
+    store.print_result(answer, "\n".join(lines) or f"no limit applies to {number}")
 
 
 @click.group(epilog=EXIT_CODES)
--- a/harepick/gapping/config.py
+++ b/harepick/gapping/config.py
@@ -84,7 +84,7 @@
         except GapError as error:
             raise GapError(f"{where}[{position}].{error}") from None
         if gap.id in rows_by_id:
-            raise GapError(f"{where}[{position}].id is there twice: {gap.id!r}")
+            raise GapError(f"{where}[{position}].id is given twice: {gap.id!r}")
         rows_by_id[gap.id] = gap
     return tuple(rows_by_id.values())
 
@@ -138,7 +138,7 @@
     if "for_s" in row and "until" in row:
         raise GapError("for_s and until are both given")
     if "since" in row and "for_s" not in row:
-        raise GapError("since says nothing without for_s")
+        raise GapError("since has no effect without for_s")
     for key in ("for_s", "since", "until"):
         if key in row and (not _is_number(row[key]) or row[key] <= 0):
             raise GapError(f"{key} is not a positive number of seconds: {row[key]!r}")
--- a/tests/test_gap_daemons.py
+++ b/tests/test_gap_daemons.py
@@ -55,8 +55,8 @@
     assert "set from revision 2" in cluster.ask(*command)
     assert cluster.ask("config", "get").startswith("# kept as it is written\n")
     assert served(client, RADIO, 10) == 0 and served(client, OTHER, 10) == 10
-    assert "radio: counts" in cluster.ask("gap", "explain", "+94112345678")
-    assert "meets no gap" in cluster.ask("gap", "explain", "+94552345678")
+    assert "radio: applies" in cluster.ask("gap", "explain", "+94112345678")
+    assert "no gap applies to +94552345678" in cluster.ask("gap", "explain", "+94552345678")
     # A change keeps the keys that are not given.
     cluster.ask("gap", "set", "radio", "--interval", "0")
     shown = orjson.loads(cluster.ask("gap", "show", "radio", "--json"))
@@ -67,7 +67,7 @@
         (("--prefix", "+94", "--interval", "-1"), "interval_s"),
         (("--prefix", "+94", "--interval", "1", "--class", "fax"), "class is not known"),
         (("--interval", "1"), "are all empty"),
-        (("--prefix", "+94", "--interval", "x"), "no number of seconds"),
+        (("--prefix", "+94", "--interval", "x"), "neither a number of seconds nor 'none'"),
         (("--prefix", "+94", "--interval", "1", "--for", "5", "--until", "2030-01-01"), "both given"),
     ]
     for arguments, message in invalid:
--- a/tests/test_gap_screen.py
+++ b/tests/test_gap_screen.py
@@ -43,7 +43,7 @@
 
 
 def test_a_duplicate_id_is_refused() -> None:
-    with pytest.raises(GapError, match=r"gaps\[1\]\.id is there twice"):
+    with pytest.raises(GapError, match=r"gaps\[1\]\.id is given twice"):
         rows({"id": "g", "number": NUMBER, "interval_s": 1}, {"id": "g", "prefix": "+94", "interval_s": 1})
 
 
@@ -182,5 +182,5 @@
     screen = GapScreen()
     screen.apply([row], 100.0)
     assert screen.retry_after(NUMBER, "", 104.0) is not None and screen.retry_after(NUMBER, "", 106.0) is None
-    with pytest.raises(GapError, match=r"gaps\[0\]\.since says nothing without for_s"):
+    with pytest.raises(GapError, match=r"gaps\[0\]\.since has no effect without for_s"):
         rows({"id": "g", "number": NUMBER, "interval_s": 1, "since": 95.0})
--- a/tests/test_limit_daemons.py
+++ b/tests/test_limit_daemons.py
@@ -66,7 +66,7 @@
     assert 5 <= passed <= 5 + 5 * elapsed + 1, (passed, elapsed)
     assert count_served(client, UNLIMITED_NAME, 20) == 20, "a look-up that no limit applies to was refused"
     assert "appeal" in cluster.ask("limit", "explain", "+94112345678")
-    assert "meets no limit" in cluster.ask("limit", "explain", "+94552345678")
+    assert "no limit applies to +94552345678" in cluster.ask("limit", "explain", "+94552345678")
     page = orjson.loads(ops_call(ops, "/api/limits")[1])["limits"][0]["here"]
     assert page["offered"] == 40 and page["passed"] == passed and page["refused"] == 40 - passed
     while (answer := client.ask(LIMITED_NAME)).rcode() != dns.rcode.SERVFAIL:
@@ -95,7 +95,7 @@
         passed += count_served(client, UNLIMITED_NAME, 10, 0.01)
     elapsed = time.monotonic() - started_at
     assert 0.6 * 4 * elapsed <= passed <= 4 * elapsed + 0.5 * 4 + 1, (passed, elapsed)
-    assert "127.0.0.1 by name" in cluster.ask("limit", "show", "desk")
+    assert "caller 127.0.0.1: " in cluster.ask("limit", "show", "desk")
     page = orjson.loads(ops_call(ops, "/api/limits")[1])["limits"][0]
     assert page["each"] == "caller" and page["here"]["callers"] == 1
     assert "for each caller" in cluster.ask("limit", "explain", "+94112345678", "--source", HOST)
