--- a/harepick/decide.py
+++ b/harepick/decide.py
@@ -722,7 +722,7 @@
     def _send(self, call: Call, server: Server) -> None:
         """Starts an attempt. One that is not allowed is logged and ends the call without an exception."""
         if call.attempt_server or self.now < call.not_before or not self._may_use(call, server):
-            self.actions.append(interface.Log(f"guard: attempt of {call.id} at {server.id} not allowed"))
+            self.actions.append(interface.Log(f"attempt of {call.id} at {server.id} not allowed"))
             return None if call.attempt_server else self._refuse_or_fail(call)
         if self.now < server.warm_at:
             server.cold_gate.take()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -151,7 +151,8 @@
     world.controller.actions = []
     world.controller._send(call, world.controller.servers["s1"])
     assert (
-        isinstance(world.controller.actions[0], interface.Log) and "guard" in world.controller.actions[0].text
+        isinstance(world.controller.actions[0], interface.Log)
+        and "at s1 not allowed" in world.controller.actions[0].text
     )
     assert not any(isinstance(action, interface.Send) for action in world.controller.actions)
     return world.controller.actions[1:]
