--- a/tests/peers.py
+++ b/tests/peers.py
@@ -186,10 +186,10 @@
     peer.send(head + body)
 
 
-def row(name: str, where: str, cell: int, state: str = "SERVING", started: int = 0) -> dict[str, Any]:
+def row(name: str, address: str, cell: int, state: str = "SERVING", started: int = 0) -> dict[str, Any]:
     """One instance in an event of the bus."""
     keys = ("instanceId", "hostPort", "zone", "machineType", "cell", "lifecycle", "weight", "startedAtMs")
-    return dict(zip(keys, (name, where, "z", "std", cell, state, 1, started), strict=True))
+    return dict(zip(keys, (name, address, "z", "std", cell, state, 1, started), strict=True))
 
 
 def event(offset: int, *rows: dict[str, Any], reset: bool = False) -> dict[str, Any]:
--- a/tests/test_autogap.py
+++ b/tests/test_autogap.py
@@ -245,7 +245,7 @@
 
 @pytest.mark.fleet
 def test_the_fleet_sets_and_ends_a_gap_on_a_number_whose_calls_fail(tmp_path: Path) -> None:
-    report = anyio.run(ScenarioRunner(make_scenario(tomllib.loads(SCENARIO), "morning"), 1, tmp_path).run)
+    report = anyio.run(ScenarioRunner(make_scenario(tomllib.loads(SCENARIO), "autogap"), 1, tmp_path).run)
     line = report.line()
     assert report.ok, (
         line,
