--- a/harepick/fleet/processes.py
+++ b/harepick/fleet/processes.py
@@ -44,15 +44,15 @@
         self._path, self._offset = path, 0
 
     def read_new(self) -> list[dict[str, Any]]:
-        """Reads the complete lines written since the last call, without those that are no JSON objects."""
+        """Returns the complete lines written since the last call; skips lines that are not JSON objects."""
         if not self._path.exists():
             return []
         with self._path.open("rb") as file:
             file.seek(self._offset)
             data = file.read()
-        whole = data[: data.rfind(b"\n") + 1]
-        self._offset += len(whole)
-        return [orjson.loads(line) for line in whole.splitlines() if line.startswith(b"{")]
+        complete_lines = data[: data.rfind(b"\n") + 1]
+        self._offset += len(complete_lines)
+        return [orjson.loads(line) for line in complete_lines.splitlines() if line.startswith(b"{")]
 
 
 class SupervisorClient:
@@ -74,7 +74,7 @@
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Runs until cancelled, then ends all processes and waits for the supervisor. Raises `RigError` if
-        the supervisor ends before."""
+        the supervisor ends before that."""
         command = [sys.executable, "-m", "harepick.fleet.supervisor"]
         # Its own session: a Ctrl-C at the terminal must not end the supervisor before it has cleaned up.
         self._process = await anyio.open_process(command, cwd=ROOT, stderr=None, start_new_session=True)
@@ -118,10 +118,10 @@
             raise RigError(f"instance {name} could not be started: {' '.join(words)}")
         return self._ids[name]
 
-    async def signal(self, name: str, number: int) -> None:
+    async def signal(self, name: str, signal_number: int) -> None:
         """Sends a signal to the process of an instance; does nothing if it has ended."""
         if name in self._ids:
-            await self._send(signal=name, number=number)
+            await self._send(signal=name, number=signal_number)
 
 
 @dataclass
@@ -197,13 +197,13 @@
             initialize_replica(settings)
 
     async def start(self, supervisor: SupervisorClient) -> None:
-        """Returns once its process runs; `serves` waits until it serves."""
+        """Starts its process and returns once that runs; `wait_until_serving` waits until it serves."""
         await run_sync(self.prepare)
         self.ended_by_rig, self.ended = False, anyio.Event()
         await supervisor.start(self.name, self.command, ROOT, self.log)
         self.state = "running"
 
-    async def serves(self, log: Tail) -> bool:
+    async def wait_until_serving(self, log: Tail) -> bool:
         """Waits until its log says that it serves; False if it ended before or did not serve in time."""
         with anyio.move_on_after(SERVE_TIMEOUT_S):
             while not self.ended.is_set():
@@ -212,14 +212,14 @@
                 await anyio.sleep(POLL_INTERVAL_S)
         return False
 
-    async def kill(self, supervisor: SupervisorClient, number: int = signal.SIGKILL) -> None:
-        """Sends a terminating signal and waits for the end; kills it if it does not end in time."""
+    async def end_process(self, supervisor: SupervisorClient, signal_number: int = signal.SIGKILL) -> None:
+        """Sends its process a terminating signal and waits for its end; kills it if that takes too long."""
         if self.state == "down":
             return
         self.ended_by_rig = True
-        if self.state == "paused" and number != signal.SIGKILL:
+        if self.state == "paused" and signal_number != signal.SIGKILL:
             await supervisor.signal(self.name, signal.SIGCONT)
-        await supervisor.signal(self.name, number)
+        await supervisor.signal(self.name, signal_number)
         with anyio.move_on_after(STOP_TIMEOUT_S):
             await self.ended.wait()
         if not self.ended.is_set():
--- a/harepick/fleet/relay.py
+++ b/harepick/fleet/relay.py
@@ -145,7 +145,7 @@
 
     def __init__(self, network: Network, seed: int = 0) -> None:
         self.network = network
-        self.figures = RelayCounters()
+        self.counters = RelayCounters()
         self._rng = Random(seed)
         self._tasks: TaskGroup | None = None
         self._network_changed = anyio.Event()
@@ -176,13 +176,13 @@
             nonlocal open_now
             async with near:
                 if open_now >= MAX_CONNECTIONS:
-                    self.figures.refused += 1
+                    self.counters.refused += 1
                     return
                 open_now += 1
                 try:
                     await self._relay_connection(near, receiver, target_port, identify, framed)
                 except (*CONNECTION_ERRORS, WireError):
-                    self.figures.refused += 1
+                    self.counters.refused += 1
                 finally:
                     open_now -= 1
 
@@ -211,7 +211,7 @@
             far = await anyio.connect_tcp(HOST, target_port)
         for stream in (near, far):
             stream.extra(SocketAttribute.raw_socket).setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.figures.connections += 1
+        self.counters.connections += 1
         async with far, anyio.create_task_group() as tasks:
             scope = tasks.cancel_scope
             to_server, to_client = (sender, receiver), (receiver, sender)
@@ -248,8 +248,8 @@
     ) -> None:
         now = monotonic()
         deliveries = schedule.deliveries(data, now, self.network.fault(*link))
-        self.figures.dropped += not deliveries
-        self.figures.repeated += len(deliveries) > 1
+        self.counters.dropped += not deliveries
+        self.counters.repeated += len(deliveries) > 1
         for delivery in deliveries:
             await queue.put(delivery)
 
@@ -259,10 +259,10 @@
                 delivery = await queue.next()
                 if delivery.data:
                     await target.send(delivery.data)
-                self.figures.forwarded += 1
-                self.figures.delays.append(monotonic() - delivery.due)
+                self.counters.forwarded += 1
+                self.counters.delays.append(monotonic() - delivery.due)
                 if delivery.cut:
-                    self.figures.cuts += 1
+                    self.counters.cuts += 1
                     # A reset instead of an orderly close: data that the far side has not read is lost.
                     raw = target.extra(SocketAttribute.raw_socket)
                     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -346,14 +346,14 @@
     ) -> None:
         now = monotonic()
         deliveries = schedule.deliveries(data, now, fault)
-        self.figures.dropped += not deliveries
-        self.figures.repeated += len(deliveries) > 1
+        self.counters.dropped += not deliveries
+        self.counters.repeated += len(deliveries) > 1
         for delivery in deliveries:
-            self.figures.forwarded += 1
+            self.counters.forwarded += 1
             if fault is CLEAR or delivery.due <= now:
                 with suppress(OSError):
                     send(delivery.data)
-                self.figures.delays.append(monotonic() - now)
+                self.counters.delays.append(monotonic() - now)
             else:
                 tasks.start_soon(self._send_later, delivery, send)
 
--- a/harepick/fleet/runner.py
+++ b/harepick/fleet/runner.py
@@ -36,6 +36,7 @@
 from harepick.store.client import StoreClient, StoreError
 
 FLEET_START_TIMEOUT_S = 30.0  # until all instances serve after the start
+HISTORY_POLL_INTERVAL_S = 0.02  # between two reads of the instances' histories
 SETTLE_S = 2.0  # without faults, before the run ends
 KILL_IN_CHANGE_MAX_DELAY_S = 0.015  # upper bound of the random time between a change's start and the kill
 CONCURRENT_TASK_TIMEOUT_S = 90.0  # for the concurrent task to end once all faults are over
@@ -155,10 +156,10 @@
         for generator in self._generators:
             tasks.start_soon(generator.run, self._started_at)
         stop = anyio.Event()
-        changed = anyio.Event()
-        tasks.start_soon(self._change_configuration, stop, changed)
-        finished = anyio.Event()
-        tasks.start_soon(self._run_concurrent_task, finished)
+        changes_ended = anyio.Event()
+        tasks.start_soon(self._change_configuration, stop, changes_ended)
+        concurrent_task_ended = anyio.Event()
+        tasks.start_soon(self._run_concurrent_task, concurrent_task_ended)
         for step in self.timeline:
             await anyio.sleep(max(0.0, self._started_at + step.at - time.monotonic()))
             self._apply_step(step)
@@ -166,13 +167,13 @@
         await self._clear_faults()
         await anyio.sleep(SETTLE_S)
         with anyio.move_on_after(CONCURRENT_TASK_TIMEOUT_S):
-            await finished.wait()
-        if not finished.is_set():
+            await concurrent_task_ended.wait()
+        if not concurrent_task_ended.is_set():
             raise RigError(f"the concurrent task did not end in {CONCURRENT_TASK_TIMEOUT_S:g} s")
         stop.set()
         with anyio.move_on_after(CHANGE_TIMEOUT_S):
-            await changed.wait()
-        if not changed.is_set():
+            await changes_ended.wait()
+        if not changes_ended.is_set():
             raise RigError("the last change of the configuration got no answer")
         async with anyio.create_task_group() as tasks:
             for generator in self._generators:
@@ -181,12 +182,12 @@
         async with anyio.create_task_group() as stops:
             for instance in self.instances.values():
                 self._record_process("stop", instance)
-                stops.start_soon(instance.kill, self.supervisor, signal.SIGTERM)
+                stops.start_soon(instance.end_process, self.supervisor, signal.SIGTERM)
 
-    async def _run_concurrent_task(self, finished: anyio.Event) -> None:
+    async def _run_concurrent_task(self, concurrent_task_ended: anyio.Event) -> None:
         if self._concurrent_task:
             await self._concurrent_task(self)
-        finished.set()
+        concurrent_task_ended.set()
 
     async def _prepare(self) -> None:
         """Allocates ports, opens the relays, and writes the instances' files."""
@@ -244,7 +245,7 @@
         log.read_new()  # skips the lines of earlier processes
         await instance.start(self.supervisor)
         self._record_process("start", instance)
-        if await instance.serves(log):
+        if await instance.wait_until_serving(log):
             self._record_process("serving", instance)
 
     async def _wait_until_all_serve(self, when: str) -> None:
@@ -260,7 +261,7 @@
             for name in self.instances:
                 if any(line["event"] == "adopted" for line in self._read_history(name)):
                     adopted.add(name)
-            await anyio.sleep(0.02)
+            await anyio.sleep(HISTORY_POLL_INTERVAL_S)
 
     def _read_history(self, name: str) -> list[dict[str, Any]]:
         """Reads the new lines of an instance's history, and remembers its latest role."""
@@ -335,10 +336,10 @@
             match what:
                 case "kill" if state != "down":
                     self._record_process(what, instance)
-                    await instance.kill(self.supervisor)
+                    await instance.end_process(self.supervisor)
                 case "stop" if state != "down":
                     self._record_process(what, instance)
-                    await instance.kill(self.supervisor, signal.SIGTERM)
+                    await instance.end_process(self.supervisor, signal.SIGTERM)
                 case "start" if state == "down" and instance.ended_by_rig:
                     await self._start_instance(instance)
                 case "pause" if state == "running":
@@ -362,7 +363,10 @@
         if not any(name in ROLES for name in step.whom):
             return step.whom
         resolved = self._targets.get(step.key)
+        # The step that begins a fault resolves its roles; a later step takes what that one found.
         if resolved is None or step.what in ("kill", "pause", "stop", "kill_in_change"):
+            # The kill of a `kill_in_change` fault waits for a change; if none comes before the fault's end,
+            # there is nothing to start.
             if step.what in ("start", "resume"):
                 return ()
             resolved = self._targets[step.key] = tuple(
@@ -409,14 +413,14 @@
     # The configuration
 
     def client(self) -> StoreClient:
-        """A client of the store's tools' port; each task needs its own."""
+        """A client of the store, on the port that the command-line tools use; each task needs its own."""
         addresses = [parse_address(f"{HOST}:{i.store_port}", "at") for i in self.instances.values()]
         return StoreClient(self.cluster, addresses)
 
-    async def _change_configuration(self, stop: anyio.Event, done: anyio.Event) -> None:
+    async def _change_configuration(self, stop: anyio.Event, changes_ended: anyio.Event) -> None:
         """Changes the configuration, one change after another, until `stop`."""
         if not self.scenario.change_every:
-            done.set()
+            changes_ended.set()
             return
         async with self.client() as client:
             while not stop.is_set():
@@ -424,7 +428,7 @@
                     await stop.wait()
                 if not stop.is_set():
                     await self._change_once(client)
-        done.set()
+        changes_ended.set()
 
     async def _change_once(self, client: StoreClient) -> None:
         self._revision += 1
@@ -469,16 +473,16 @@
         report.events = merge(paths)
         report.start = self._started_at
         figures, report.violations, report.kept_violations = run_checks(report.events, self.scenario.checks)
-        relay = self.relay.figures
+        relay_counters = self.relay.counters
         report.figures = {
             "instances": self.scenario.instances,
             "servers": self.scenario.servers,
             "steps": len(self.timeline),
             "changes": max(0, self._revision - 1),
             **figures,
-            "relay_messages": relay.forwarded,
-            "relay_dropped": relay.dropped,
-            "relay_cuts": relay.cuts,
+            "relay_messages": relay_counters.forwarded,
+            "relay_dropped": relay_counters.dropped,
+            "relay_cuts": relay_counters.cuts,
         }
 
 
--- a/tests/test_fleet_rig.py
+++ b/tests/test_fleet_rig.py
@@ -114,7 +114,7 @@
             await receive(a, len(HELLO))
             network.partition([["a"], ["b"]])
             relay.network_changed()
-            before = relay.figures.connections
+            before = relay.counters.connections
             await a.aclose()
             await anyio.sleep(0.2)
             async with await anyio.connect_tcp(HOST, port) as again:  # opens, but receives nothing
@@ -122,7 +122,7 @@
                 assert await receive(again, 1, 0.2) == b""
                 network.heal()
                 relay.network_changed()
-            assert relay.figures.connections == before + 1
+            assert relay.counters.connections == before + 1
 
     run_bounded(work)
 
@@ -167,7 +167,7 @@
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                     while True:
                         await a.receive()
-            assert relay.figures.cuts == 1
+            assert relay.counters.cuts == 1
             async with await anyio.connect_tcp(HOST, port) as stranger:
                 await stranger.send(LENGTH.pack(3) + b"abc")
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
