--- a/benchmarks/gap_fleet.py
+++ b/benchmarks/gap_fleet.py
@@ -18,7 +18,7 @@
 import anyio
 
 from benchmarks.daemons import print_line
-from harepick.fleet.checks import trouble
+from harepick.fleet.checks import find_fault_periods
 from harepick.fleet.runner import Report, ScenarioRunner
 from harepick.fleet.scenario import make_scenario
 
@@ -91,7 +91,7 @@
         report = anyio.run(ScenarioRunner(scenario, options.seed, Path(folder)).run)
     for violation in report.kept_violations[:10]:
         print(f"{violation.check}: {violation.why}", file=sys.stderr)
-    fault_periods = trouble(report.events, report.start, report.seconds)
+    fault_periods = find_fault_periods(report.events, report.start, report.seconds)
     steady_parts, at = [], 3.0
     while at + 2.0 <= report.seconds:
         if not any(since - 0.5 <= at + 2.0 and at <= until + SETTLE_S for since, until in fault_periods):
--- a/benchmarks/limit_fleet.py
+++ b/benchmarks/limit_fleet.py
@@ -20,7 +20,7 @@
 import anyio
 
 from benchmarks.daemons import print_line
-from harepick.fleet.checks import trouble
+from harepick.fleet.checks import find_fault_periods
 from harepick.fleet.history import Event
 from harepick.fleet.maintenance_rounds import call_until_answered
 from harepick.fleet.runner import Report, ScenarioRunner
@@ -161,7 +161,7 @@
     all_admitted = [event for event in report.events if event.event == "admitted"]
     admitted = [event for event in all_admitted if event["limit"] == "appeal"]
     greedy = [event for event in all_admitted if event["limit"] == f"desk@{GREEDY_CALLER}"]
-    fault_periods = trouble(report.events, report.start, report.seconds)
+    fault_periods = find_fault_periods(report.events, report.start, report.seconds)
     steady_parts, at = [], SETTLE_S + 2.0
     while at + 1.0 <= report.seconds:
         if not any(since - 0.5 <= at + 1.0 and at <= until + SETTLE_S for since, until in fault_periods):
--- a/harepick/fleet/checks.py
+++ b/harepick/fleet/checks.py
@@ -148,7 +148,7 @@
     return spans
 
 
-def trouble(events: Sequence[Event], start: float, seconds: float) -> list[tuple[float, float]]:
+def find_fault_periods(events: Sequence[Event], start: float, seconds: float) -> list[tuple[float, float]]:
     """Periods with a fault, in seconds from `start`, from the rig's own events: link faults, partitions, and
     instances that were not running."""
     spans: list[tuple[float, float]] = []
--- a/harepick/fleet/limits/caller_buckets.py
+++ b/harepick/fleet/limits/caller_buckets.py
@@ -112,13 +112,13 @@
         """Records a dropped bucket: callers without one get no tokens for the time before its last refill."""
         self._spent_credit = max(self._spent_credit, bucket.base_credit)
 
-    def burst(self, burst_s: float, now: float) -> None:
+    def set_burst(self, burst_s: float, now: float) -> None:
         """Sets the burst, in seconds of the share, from `now` on."""
         if burst_s != self._burst_s:
             self._burst_s = burst_s
             self._cap_all(now)
 
-    def set(self, base: float, named: Mapping[str, float], now: float) -> None:
+    def set_shares(self, base: float, named: Mapping[str, float], now: float) -> None:
         """Sets the shares from `now` on; tokens above a new, lower capacity are discarded."""
         if self._base_credited_at == float("-inf"):
             self._base_credited_at = now
--- a/harepick/fleet/limits/limit_buckets.py
+++ b/harepick/fleet/limits/limit_buckets.py
@@ -77,7 +77,7 @@
         """Most tokens that may accumulate; at least one for any share above 0."""
         return max(1.0, self.share * self.burst_s) if self.share > 0 else 0.0
 
-    def set(self, share: float, now: float) -> None:
+    def set_share(self, share: float, now: float) -> None:
         """Sets the share from `now` on; tokens above a new, lower capacity are discarded."""
         self._refill(now)
         self.share = share
@@ -168,7 +168,7 @@
             elif use.callers is None:
                 use.callers = self._make_callers(limit.burst_s)
             else:
-                use.callers.burst(limit.burst_s, now)
+                use.callers.set_burst(limit.burst_s, now)
             use.bucket.tokens = min(use.bucket.tokens, use.bucket.capacity)
             uses[limit.id] = use
         self._uses = uses
@@ -183,9 +183,9 @@
         for name, use in self._uses.items():
             if use.callers is not None:
                 caller_shares = named.get(name, {})
-                use.callers.set(caller_shares.pop(ALL_CALLERS, 0.0), caller_shares, now)
+                use.callers.set_shares(caller_shares.pop(ALL_CALLERS, 0.0), caller_shares, now)
             else:
-                use.bucket.set(shares.get(name, 0.0), now)
+                use.bucket.set_share(shares.get(name, 0.0), now)
 
     def take_tokens(
         self, called: str, class_name: str, source: str, now: float
--- a/harepick/fleet/limits/operator_api.py
+++ b/harepick/fleet/limits/operator_api.py
@@ -31,13 +31,13 @@
             "verdict_lift": self.lift,
         }
 
-    async def list(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def list(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Limits and verdicts, read from the leader, which knows the demand; with `stale`, as known here."""
         if not arguments.get("stale"):
-            await self._replica.read(wait)
+            await self._replica.read(timeout)
         return self._manager.status()
 
-    async def judge(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def judge(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Issues a verdict; answers once every instance that may act applies it.
 
         Raises `BadRequestError`, and `OutcomeError` if the server is unknown or the command is refused.
@@ -45,7 +45,7 @@
         kind, subject = argument_text(arguments, "kind"), argument_text(arguments, "subject")
         if kind not in OPERATOR_KINDS:  # `gapped` is left out: operators gap a number by `gap set`
             raise BadRequestError(f"argument kind is none of {', '.join(OPERATOR_KINDS)}: {kind!r}")
-        await self._replica.read(wait)
+        await self._replica.read(timeout)
         if kind == BLOCKED:
             try:
                 subject = network(subject, "subject")
@@ -64,22 +64,22 @@
             float(ttl),
             argument_text(arguments, "why", ""),
         )
-        return await self._change(arguments, command, wait)
+        return await self._change(arguments, command, timeout)
 
-    async def lift(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def lift(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Ends a verdict. Raises `OutcomeError` if it does not exist."""
         command = LiftVerdict(argument_number(arguments, "verdict"), argument_text(arguments, "by", ""))
-        return await self._change(arguments, command, wait)
+        return await self._change(arguments, command, timeout)
 
     async def _change(
-        self, arguments: dict[str, Any], command: IssueVerdict | LiftVerdict, wait: float
+        self, arguments: dict[str, Any], command: IssueVerdict | LiftVerdict, timeout: float
     ) -> dict[str, Any]:
         session, number = argument_text(arguments, "session", ""), argument_number(arguments, "number", 0)
-        match await self._replica.change(Envelope(session, number, command), wait):
+        match await self._replica.change(Envelope(session, number, command), timeout):
             case Done(verdict, _):
                 return {"verdict": verdict}
             case StepApplied(_):
                 return {"verdict": command.verdict if isinstance(command, LiftVerdict) else 0}
             case Refused(text):
                 raise OutcomeError("refused", text)
-        raise OutcomeError("lost", "the leader has gone; whether it took effect is not known: ask again")
+        raise OutcomeError("lost", "leadership was lost; whether it took effect is not known: try again")
--- a/harepick/fleet/maintenance/operator_api.py
+++ b/harepick/fleet/maintenance/operator_api.py
@@ -50,13 +50,13 @@
             "maint_list": self.list,
         }
 
-    async def request(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def request(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Requests maintenance of a server or controller.
 
         Raises `BadRequestError`, and `OutcomeError` if the machine is unknown or the command is refused.
         """
         kind, name = parse_machine(argument_text(arguments, "machine"))
-        await self._replica.read(wait)
+        await self._replica.read(timeout)
         known = self._servers() if kind == SERVER else frozenset(self._replica.node.raft.membership.voters)
         if name not in known:
             raise OutcomeError("no_machine", f"no {kind} {name!r}; there are {', '.join(sorted(known))}")
@@ -79,26 +79,26 @@
             closes,
             time.time(),
         )
-        return await self._change(arguments, command, wait)
+        return await self._change(arguments, command, timeout)
 
-    async def cancel(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def cancel(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Withdraws an order. Raises `OutcomeError` if it is refused."""
         command = CancelOrder(
             argument_number(arguments, "order"), argument_text(arguments, "by", ""), time.time()
         )
-        return await self._change(arguments, command, wait)
+        return await self._change(arguments, command, timeout)
 
-    async def done(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def done(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Ends an order whose machine is out. Raises `OutcomeError` if it is refused."""
         command = FinishOrder(
             argument_number(arguments, "order"), argument_text(arguments, "by", ""), time.time()
         )
-        return await self._change(arguments, command, wait)
+        return await self._change(arguments, command, timeout)
 
-    async def list(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def list(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """The orders from the leader, which knows why each waits; with `stale`, as known here."""
         if not arguments.get("stale"):
-            await self._replica.read(wait)
+            await self._replica.read(timeout)
             if self._replica.leases() is None and self._replica.node.raft.leader != self._name:
                 raise NotLeaderError(self._replica.node.raft.leader)
         return self._manager.status()
@@ -116,12 +116,14 @@
             raise BadRequestError(f"argument {name} is no Unix time: {value!r}")
         return float(value)
 
-    async def _change(self, arguments: dict[str, Any], command: OrderCommand, wait: float) -> dict[str, Any]:
+    async def _change(
+        self, arguments: dict[str, Any], command: OrderCommand, timeout: float
+    ) -> dict[str, Any]:
         session, number = argument_text(arguments, "session", ""), argument_number(arguments, "number", 0)
-        answer = await self._replica.change(Envelope(session, number, command), wait)
+        answer = await self._replica.change(Envelope(session, number, command), timeout)
         match answer:
             case OrderChanged(order, state, version, _):
                 return {"order": order, "state": state, "version": version}
             case Refused(text):
                 raise OutcomeError("refused", text)
-        raise OutcomeError("lost", "the leader has gone; whether it took effect is not known: ask again")
+        raise OutcomeError("lost", "leadership was lost; whether it took effect is not known: try again")
--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -149,14 +149,14 @@
 
     # Reading
 
-    async def _ensure_current(self, arguments: dict[str, Any], wait: float) -> None:
+    async def _ensure_current(self, arguments: dict[str, Any], timeout: float) -> None:
         """Makes the leader confirm its leadership before a read, unless the tool accepts a stale answer."""
         if not arguments.get("stale"):
-            await self._replica.read(wait)
+            await self._replica.read(timeout)
 
-    async def get(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def get(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Returns the revision `revision`, by default the latest."""
-        await self._ensure_current(arguments, wait)
+        await self._ensure_current(arguments, timeout)
         number = _optional_number(arguments, "revision")
         state_machine = self._replica.node.state_machine
         revision = state_machine.latest if number is None else state_machine.revision(number)
@@ -166,17 +166,17 @@
             )
         return revision_row(revision)
 
-    async def history(self, arguments: dict[str, Any], wait: float) -> list[dict[str, Any]]:
+    async def history(self, arguments: dict[str, Any], timeout: float) -> list[dict[str, Any]]:
         """Returns the latest revisions without their texts."""
-        await self._ensure_current(arguments, wait)
+        await self._ensure_current(arguments, timeout)
         most = argument_number(arguments, "most", 20)
         return [
             revision_row(revision, text=False) for revision in self._replica.node.state_machine.history(most)
         ]
 
-    async def views(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def views(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Returns the stored pool view of each instance."""
-        await self._ensure_current(arguments, wait)
+        await self._ensure_current(arguments, timeout)
         views = self._replica.node.state_machine.views
         fields = ("server", "number", "state", "size", "started", "zone", "address")
         return {
@@ -187,9 +187,9 @@
             for name, view in views.items()
         }
 
-    async def status(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def status(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Returns the status of this replica."""
-        del arguments, wait
+        del arguments, timeout
         return self._replica.status()
 
     async def _watch(self, stream: ByteStream, request: Request) -> None:
@@ -219,7 +219,7 @@
 
     # Changing
 
-    async def set(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def set(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Checks a configuration and stores it as the next revision."""
         text = argument_text(arguments, "text")
         read_store_config(text)  # checked by the reader that adopts it, before it is proposed
@@ -233,12 +233,12 @@
             argument_text(arguments, "note", ""),
             time.time(),
         )
-        return await self._change(arguments, body, wait)
+        return await self._change(arguments, body, timeout)
 
-    async def rollback(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def rollback(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Stores the text of an earlier revision as the next one."""
         target = argument_number(arguments, "to")
-        await self._replica.read(wait)
+        await self._replica.read(timeout)
         restored = self._replica.node.state_machine.revision(target)
         if restored is None:
             raise OutcomeError("no_revision", f"revision {target} is not kept")
@@ -251,30 +251,32 @@
             argument_text(arguments, "note", ""),
             time.time(),
         )
-        return await self._change(arguments, body, wait)
+        return await self._change(arguments, body, timeout)
 
-    async def _change(self, arguments: dict[str, Any], body: Put | RollBack, wait: float) -> dict[str, Any]:
+    async def _change(
+        self, arguments: dict[str, Any], body: Put | RollBack, timeout: float
+    ) -> dict[str, Any]:
         session, number = argument_text(arguments, "session", ""), argument_number(arguments, "number", 0)
-        return _result(await self._replica.change(Envelope(session, number, body), wait))
+        return _result(await self._replica.change(Envelope(session, number, body), timeout))
 
-    async def add(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def add(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Adds a member."""
         name, address = argument_text(arguments, "replica"), argument_text(arguments, "address")
         peer_address(address, "address")
-        return _result(await self._replica.add(name, address, wait))
+        return _result(await self._replica.add(name, address, timeout))
 
-    async def remove(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def remove(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Removes a member, also from the list of absent members."""
         name = argument_text(arguments, "replica")
         result: dict[str, Any] = {}
         if self._replica.node.raft.membership.get(name) or not self._replica.node.state_machine.absences.get(
             name
         ):
-            result = _result(await self._replica.remove(name, wait))
+            result = _result(await self._replica.remove(name, timeout))
         absences = self._replica.node.state_machine.absences
         if absences.get(name):  # off the list, it is not added again when it returns
             command = SetMemberState(name, PRESENT, absences.version, why="removed by hand")
-            answer = await self._replica.change(Envelope("", 0, command), wait)
+            answer = await self._replica.change(Envelope("", 0, command), timeout)
             if not isinstance(answer, StepApplied):
                 raise OutcomeError(
                     "conflict",
@@ -283,15 +285,15 @@
             result = result or {"index": answer.index}
         return result
 
-    async def transfer(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def transfer(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Transfers the leadership to another member."""
-        await self._replica.transfer(argument_text(arguments, "replica"), wait)
+        await self._replica.transfer(argument_text(arguments, "replica"), timeout)
         return {"leader": self._replica.node.raft.leader}
 
-    async def snapshot(self, arguments: dict[str, Any], wait: float) -> dict[str, Any]:
+    async def snapshot(self, arguments: dict[str, Any], timeout: float) -> dict[str, Any]:
         """Writes a snapshot and returns its index once it is durable."""
         del arguments
-        return {"index": await self._replica.snapshot(wait)}
+        return {"index": await self._replica.snapshot(timeout)}
 
 
 def _result(answer: Answer) -> dict[str, Any]:
@@ -306,7 +308,7 @@
         case int():
             return {"index": answer}
         case _:
-            raise OutcomeError("lost", "the leader has gone; whether it took effect is not known: ask again")
+            raise OutcomeError("lost", "leadership was lost; whether it took effect is not known: try again")
 
 
 METHODS: dict[str, Method] = {
--- a/tests/test_fleet_limits.py
+++ b/tests/test_fleet_limits.py
@@ -176,12 +176,12 @@
     share: float, burst: float, gaps: list[float], new: float
 ) -> None:
     bucket, now, passed = Bucket(burst), 0.0, []
-    bucket.set(share, now)
+    bucket.set_share(share, now)
     assert not bucket.has_token(now), "a bucket starts empty"
     for n, gap in enumerate(gaps):
         now += gap
         if n == len(gaps) // 2:
-            bucket.set(new, now)
+            bucket.set_share(new, now)
         if bucket.has_token(now):
             bucket.take_token()
             passed.append(now)
@@ -251,7 +251,7 @@
     table, burst = CallerBuckets(1.0, max_callers), 1.0
     exact: dict[str, Bucket] = {}
     now, base = 0.0, 2.0
-    table.set(base, {}, now)
+    table.set_shares(base, {}, now)
 
     def cap() -> float:
         return max(1.0, base / BASE_SHARE * burst)
@@ -260,7 +260,7 @@
         now += elapsed
         if new_base is not None:
             base = new_base
-            table.set(base, {}, now)
+            table.set_shares(base, {}, now)
         for name in "uvwxyz":  # tokens of each caller in an unbounded table
             if name not in exact:
                 exact[name] = Bucket(burst, refilled_at=0.0, share=2.0)
@@ -268,7 +268,7 @@
             bucket.burst_s = cap() / base
             if new_base is not None:
                 bucket.burst_s = max(cap(), 1e9) / base  # refilled at the old share first, then capped
-                bucket.set(base, now)
+                bucket.set_share(base, now)
                 bucket.burst_s = cap() / base
             bucket._refill(now)
             bucket.tokens = min(bucket.tokens, cap())
