--- a/benchmarks/faultyfiles.py
+++ b/benchmarks/faultyfiles.py
@@ -61,7 +61,7 @@
             self._files.operation("sync", lambda: None)
             raise OSError(errno.EIO, "Input/output error")
         self._files.operation("sync", lambda: None)
-        if not self._files.lying_sync:
+        if not self._files.ignore_syncs:
             self._file.durable, self._file.pending = self._file.data, []
 
     def close(self) -> None:
@@ -84,7 +84,7 @@
         self.crash_at: int | None = None  # value of `operations` at which the power fails
         self.operations = 0
         self.locked = False
-        self.lying_sync = False  # syncs are acknowledged but not done, to prove that the tests detect it
+        self.ignore_syncs = False  # syncs are acknowledged but not done, to prove that the tests detect it
 
     def __str__(self) -> str:
         return "memory"
--- a/harepick/fleet/relay.py
+++ b/harepick/fleet/relay.py
@@ -22,7 +22,7 @@
 
 from harepick.fleet.faults import CLEAR, TOOL, Delivery, Fault, LinkSchedule, Network
 from harepick.fleet.ports import HOST
-from harepick.store.wire import LENGTH, MAX_FRAME, WireError, hellos
+from harepick.store.wire import LENGTH, MAX_FRAME, WireError, hello_decoder
 
 READ_SIZE = 64 * 1024
 MAX_DATAGRAM_BYTES = 65_535
@@ -56,7 +56,7 @@
 
 def store_sender(first: bytes) -> str:
     """The name of the replica that opened a connection to another one, or `tool`; raises `WireError`."""
-    hello = hellos.read(first[LENGTH.size :])
+    hello = hello_decoder.read(first[LENGTH.size :])
     return hello.replica if hello.role == "peer" else TOOL
 
 
--- a/harepick/store/client.py
+++ b/harepick/store/client.py
@@ -23,6 +23,9 @@
 # without answering, while the other replicas elect a new leader long before the tool's own deadline.
 REPLY_TIMEOUT_S = 4.0
 ROUND_PAUSE_S = 0.1  # between two attempts
+# A leader named by an error answer is tried without a pause, except after every fourth attempt of a `call`.
+ATTEMPTS_PER_PAUSE = 4
+MAX_ATTEMPTS_WITHOUT_PAUSE = 20  # of a `call`; from then on there is a pause after each
 RETRIABLE_ERRORS = ("not_leader", "busy", "lost", "unavailable")
 NUMBERED_METHODS = (
     "set",
@@ -56,7 +59,7 @@
     async def hello(self, cluster: str) -> None:
         """Does the handshake; raises `StoreError` if the replica refuses the connection."""
         await self.stream.send(wire.frame(Hello("tool", cluster)))
-        welcome = wire.welcomes.read(await self.frames.next())
+        welcome = wire.welcome_decoder.read(await self.frames.next())
         if welcome.error:
             raise StoreError("turned_away", f"{welcome.replica}: {welcome.error}")
         self.frames.max_size = wire.MAX_FRAME
@@ -69,7 +72,7 @@
 
     async def receive(self, number: int) -> Response:
         """Waits for an answer to request `number`; raises `WireError` for one to another request."""
-        response = wire.responses.read(await self.frames.next())
+        response = wire.response_decoder.read(await self.frames.next())
         if response.id != number:
             raise WireError(f"answer to request {response.id} instead of {number}")
         return response
@@ -169,10 +172,9 @@
                     raise last_error
                 if response.leader:
                     hints.append(parse_address(response.leader, "leader"))
-                    # Without a pause, except after every fourth attempt and once there were 20.
-                    if attempts < 20:
+                    if attempts < MAX_ATTEMPTS_WITHOUT_PAUSE:
                         attempts += 1
-                        if attempts % 4:
+                        if attempts % ATTEMPTS_PER_PAUSE:
                             continue
             if not hints:
                 attempts += 1
--- a/harepick/store/operator_api.py
+++ b/harepick/store/operator_api.py
@@ -106,7 +106,7 @@
         """Serves one connection after its handshake; raises `TimeoutError` if the tool stalls."""
         while True:
             with anyio.fail_after(IDLE_TIMEOUT_S):
-                request = wire.requests.read(await frames.next())
+                request = wire.request_decoder.read(await frames.next())
             self._counters.add("store.requests")
             if request.method == "watch":
                 await self._watch(stream, request)
--- a/harepick/store/transport.py
+++ b/harepick/store/transport.py
@@ -171,7 +171,7 @@
             frames = Frames(stream)
             with anyio.fail_after(CONNECT_TIMEOUT_S):
                 await stream.send(wire.frame(self._hello()))
-                welcome = wire.welcomes.read(await frames.next())
+                welcome = wire.welcome_decoder.read(await frames.next())
             if welcome.error:
                 raise WireError(f"turned away: {welcome.error}")
             if (welcome.cluster, welcome.replica) != (identity.cluster, peer.name):
@@ -249,7 +249,7 @@
     async def _serve_connection(self, stream: ByteStream, scope: anyio.CancelScope) -> None:
         frames = Frames(stream)
         with anyio.fail_after(HELLO_TIMEOUT_S):
-            hello = wire.hellos.read(await frames.next())
+            hello = wire.hello_decoder.read(await frames.next())
             reason = await self._rejection_reason(hello)
             identity = self._identity
             await stream.send(
@@ -273,7 +273,7 @@
         self._incoming[hello.replica] = scope
         try:
             while True:
-                while (data := frames.ready()) is not None:
+                while (data := frames.pop_buffered()) is not None:
                     self._counters.add("store.heard")
                     self._handle_message(hello.replica, wire.decode_peer_message(data))
                 with anyio.fail_after(IDLE_TIMEOUT_S):
--- a/harepick/store/wire.py
+++ b/harepick/store/wire.py
@@ -94,8 +94,8 @@
         self._buffer = bytearray()
         self.max_size = MAX_HELLO
 
-    def ready(self) -> bytes | None:
-        """Returns a completely buffered frame, or None; raises `WireError` for one that is too large."""
+    def pop_buffered(self) -> bytes | None:
+        """Takes a complete frame out of the buffer, or returns None; raises `WireError` for one too large."""
         if len(self._buffer) < LENGTH.size:
             return None
         (length,) = LENGTH.unpack_from(self._buffer)
@@ -112,8 +112,8 @@
         self._buffer += await self._stream.receive(READ_SIZE)
 
     async def next(self) -> bytes:
-        """Waits for the next frame; raises as `ready` and `fill` do."""
-        while (data := self.ready()) is None:
+        """Waits for the next frame; raises as `pop_buffered` and `fill` do."""
+        while (data := self.pop_buffered()) is None:
             await self.fill()
         return data
 
@@ -132,10 +132,10 @@
             raise WireError(f"undecodable frame: {error}") from None
 
 
-hellos: TypedDecoder[Hello] = TypedDecoder(Hello)
-welcomes: TypedDecoder[Welcome] = TypedDecoder(Welcome)
-requests: TypedDecoder[Request] = TypedDecoder(Request)
-responses: TypedDecoder[Response] = TypedDecoder(Response)
+hello_decoder: TypedDecoder[Hello] = TypedDecoder(Hello)
+welcome_decoder: TypedDecoder[Welcome] = TypedDecoder(Welcome)
+request_decoder: TypedDecoder[Request] = TypedDecoder(Request)
+response_decoder: TypedDecoder[Response] = TypedDecoder(Response)
 
 
 def decode_peer_message(data: bytes) -> PeerMessage:
--- a/tests/test_store_daemons.py
+++ b/tests/test_store_daemons.py
@@ -447,7 +447,7 @@
                 return answer
 
         def welcome(hello: Hello) -> Welcome:
-            return wire.welcomes.read(answer_to(wire.frame(hello))[4:])
+            return wire.welcome_decoder.read(answer_to(wire.frame(hello))[4:])
 
         assert answer_to(b"\xff\xff\xff\xff") == b""
         assert answer_to(b"GET / HTTP/1.1\r\n\r\n") == b""
@@ -479,7 +479,7 @@
                 received = b""
                 while part := sock.recv(4096):
                     received += part
-                assert wire.welcomes.read(received[4:]).error == ""
+                assert wire.welcome_decoder.read(received[4:]).error == ""
         with socket.create_connection((HOST, daemon.store_port), timeout=5) as stalled:
             request = wire.frame(wire.Request(1, "get", {}))
             stalled.sendall(hello + request * 2000)  # never reads the answers
@@ -498,7 +498,7 @@
                 sock.sendall(hello + wire.frame(wire.Request(1, method, arguments)))
                 stream = sock.makefile("rb")
                 stream.read(int.from_bytes(stream.read(4), "big"))
-                answer = wire.responses.read(stream.read(int.from_bytes(stream.read(4), "big")))
+                answer = wire.response_decoder.read(stream.read(int.from_bytes(stream.read(4), "big")))
                 assert answer.error == code, (method, answer)
         wait_until_serving(daemon)
 
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -159,7 +159,7 @@
         files = new_folder(seed)
         storage = Storage(files, segment_bytes=300)
         storage.open()
-        files.lying_sync = True
+        files.ignore_syncs = True
         expected: ExpectedState = ExpectedState()
         write_script(storage, expected, [])
         files.power_fails()
--- a/tests/test_store_parts.py
+++ b/tests/test_store_parts.py
@@ -14,8 +14,7 @@
 
 from harepick.enumdns.routes import Routes
 from harepick.settings import Route, SettingsError, read_store_config
-from harepick.store import state_machine as m
-from harepick.store import wire
+from harepick.store import state_machine, wire
 from harepick.store.leases import CLOCK_RATE_MARGIN, Grants, Lease
 from harepick.store.node import Node
 from harepick.store.raft.core import BusyError, Raft
@@ -25,51 +24,69 @@
 SINGLE_REPLICA = Membership((Member("a", "127.0.0.1:1"),))
 
 
-def apply(machine: m.StateMachine, body: m.Command, session: str = "", number: int = 0) -> m.Result:
+def apply(
+    machine: state_machine.StateMachine, body: state_machine.Command, session: str = "", number: int = 0
+) -> state_machine.Result:
     """Applies a command as the next entry."""
-    return machine.apply(machine.applied + 1, m.encode(m.Envelope(session, number, body)))
+    return machine.apply(
+        machine.applied + 1, state_machine.encode(state_machine.Envelope(session, number, body))
+    )
 
 
 def test_revisions_are_numbered_and_an_unexpected_one_is_a_conflict() -> None:
-    machine = m.StateMachine()
-    assert apply(machine, m.Put("one", 0)) == m.Done(1, 1)
-    assert apply(machine, m.Put("two", 0)) == m.Conflict(0, 1)
-    assert apply(machine, m.Put("two", 1)) == m.Done(2, 3)
-    assert apply(machine, m.RollBack(1)) == m.Done(3, 4)
+    machine = state_machine.StateMachine()
+    assert apply(machine, state_machine.Put("one", 0)) == state_machine.Done(1, 1)
+    assert apply(machine, state_machine.Put("two", 0)) == state_machine.Conflict(0, 1)
+    assert apply(machine, state_machine.Put("two", 1)) == state_machine.Done(2, 3)
+    assert apply(machine, state_machine.RollBack(1)) == state_machine.Done(3, 4)
     assert machine.latest and machine.latest.text == "one" and "rollback to 1" in machine.latest.note
-    assert apply(machine, m.RollBack(9)) == m.Refused("revision 9 is not kept")
-    assert isinstance(apply(machine, m.Put("x" * (m.MAX_TEXT_CHARS + 1))), m.Refused)
+    assert apply(machine, state_machine.RollBack(9)) == state_machine.Refused("revision 9 is not kept")
+    assert isinstance(
+        apply(machine, state_machine.Put("x" * (state_machine.MAX_TEXT_CHARS + 1))), state_machine.Refused
+    )
     assert machine.latest.number == 3
 
 
 def test_history_sessions_and_views_are_bounded() -> None:
-    machine = m.StateMachine()
-    for n in range(m.MAX_REVISIONS + 50):
-        apply(machine, m.Put(f"{n}"), f"s{n}", 1)
-    assert len(machine.history()) == m.MAX_REVISIONS and machine.revision(1) is None
+    machine = state_machine.StateMachine()
+    for n in range(state_machine.MAX_REVISIONS + 50):
+        apply(machine, state_machine.Put(f"{n}"), f"s{n}", 1)
+    assert len(machine.history()) == state_machine.MAX_REVISIONS and machine.revision(1) is None
     for _ in range(40):
-        apply(machine, m.Put("x" * m.MAX_TEXT_CHARS))
-    assert sum(len(r.text) for r in machine.history()) <= m.MAX_HISTORY_CHARS
-    for n in range(m.MAX_VIEWS + 5):
-        apply(machine, m.PoolView(f"i{n}", ()))
-    assert len(machine.views) == m.MAX_VIEWS and "i0" not in machine.views
-    rows = tuple(m.PoolViewRow(f"s{n}", n, "ready") for n in range(m.MAX_VIEW_ROWS + 1))
-    assert isinstance(apply(machine, m.PoolView("i", rows)), m.Refused)
+        apply(machine, state_machine.Put("x" * state_machine.MAX_TEXT_CHARS))
+    assert sum(len(r.text) for r in machine.history()) <= state_machine.MAX_HISTORY_CHARS
+    for n in range(state_machine.MAX_VIEWS + 5):
+        apply(machine, state_machine.PoolView(f"i{n}", ()))
+    assert len(machine.views) == state_machine.MAX_VIEWS and "i0" not in machine.views
+    rows = tuple(
+        state_machine.PoolViewRow(f"s{n}", n, "ready") for n in range(state_machine.MAX_VIEW_ROWS + 1)
+    )
+    assert isinstance(apply(machine, state_machine.PoolView("i", rows)), state_machine.Refused)
 
 
 def test_an_entry_of_an_unknown_format_stops_the_replica() -> None:
     """An entry of a newer version must not be skipped: the replica stops before it, and acts no more."""
-    machine = m.StateMachine()
-    for data in (b"", b"\x02rest", bytes([m.FORMAT_VERSION]) + b"\xc1"):
-        with pytest.raises(m.FormatError):
+    machine = state_machine.StateMachine()
+    for data in (b"", b"\x02rest", bytes([state_machine.FORMAT_VERSION]) + b"\xc1"):
+        with pytest.raises(state_machine.FormatError):
             machine.apply(1, data)
         assert machine.applied == 0
-        with pytest.raises(m.FormatError):
+        with pytest.raises(state_machine.FormatError):
             machine.restore(data)
     entries = [
-        Entry(1, 1, EntryKind.COMMAND, m.encode(m.Envelope("", 0, m.Put("old")))),
+        Entry(
+            1,
+            1,
+            EntryKind.COMMAND,
+            state_machine.encode(state_machine.Envelope("", 0, state_machine.Put("old"))),
+        ),
         Entry(2, 1, EntryKind.COMMAND, b"\x09later"),
-        Entry(3, 1, EntryKind.COMMAND, m.encode(m.Envelope("", 0, m.Put("never")))),
+        Entry(
+            3,
+            1,
+            EntryKind.COMMAND,
+            state_machine.encode(state_machine.Envelope("", 0, state_machine.Put("never"))),
+        ),
     ]
     node = Node("a", Random(1), HardState(1, "a"), Snapshot(0, 0, SINGLE_REPLICA), entries, 0.0)
     for n in range(50):
@@ -86,7 +103,7 @@
     """Adopting it fails, so it must not be acknowledged."""
     node = Node("a", Random(1), HardState(), Snapshot(0, 0, SINGLE_REPLICA), (), 0.0)
 
-    def adopt(revision: m.Revision) -> None:
+    def adopt(revision: state_machine.Revision) -> None:
         node.stop(f"revision {revision.number}")
 
     node._on_revision = adopt
@@ -94,12 +111,14 @@
     for n in range(60):
         node.tick(n * 0.02)
         if n == 20:
-            node.change(m.Envelope("", 0, m.Put("new words")), "asker")
+            node.change(state_machine.Envelope("", 0, state_machine.Put("new words")), "asker")
         if writes := node.take_writes():
             node.written(writes, n * 0.02)
         answers += node.poll(n * 0.02).answers
     assert node.stopped == "revision 1" and not node.may_act(1.2)
-    assert not any(isinstance(answer, m.Done) for _, answer in answers), "acknowledged by a stopped replica"
+    assert not any(isinstance(answer, state_machine.Done) for _, answer in answers), (
+        "acknowledged by a stopped replica"
+    )
 
 
 def test_pending_bytes_are_bounded() -> None:
@@ -117,12 +136,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.one, self.two = m.StateMachine(), m.StateMachine()
+        self.one, self.two = state_machine.StateMachine(), state_machine.StateMachine()
         self.model: list[str] = []
-        self.answers: dict[tuple[str, int], m.Result] = {}
+        self.answers: dict[tuple[str, int], state_machine.Result] = {}
         self.numbers: dict[str, int] = {}
 
-    def both(self, body: m.Command, session: str = "", number: int = 0) -> m.Result:
+    def both(self, body: state_machine.Command, session: str = "", number: int = 0) -> state_machine.Result:
         results = [apply(machine, body, session, number) for machine in (self.one, self.two)]
         assert results[0] == results[1]
         return results[0]
@@ -130,35 +149,35 @@
     @rule(text=st.text(max_size=5), expect=st.none() | st.integers(0, 8), session=st.sampled_from("abc"))
     def put(self, text: str, expect: int | None, session: str) -> None:
         number = self.numbers[session] = self.numbers.get(session, 0) + 1
-        result = self.both(m.Put(text, expect), session, number)
+        result = self.both(state_machine.Put(text, expect), session, number)
         self.answers[session, number] = result
         if expect is None or expect == len(self.model):
             self.model.append(text)
-            assert isinstance(result, m.Done) and result.revision == len(self.model)
+            assert isinstance(result, state_machine.Done) and result.revision == len(self.model)
         else:
-            assert result == m.Conflict(expect, len(self.model))
+            assert result == state_machine.Conflict(expect, len(self.model))
 
     @precondition(lambda self: self.numbers)
     @rule(data=st.data())
     def repeat(self, data: st.DataObject) -> None:
         session = data.draw(st.sampled_from(sorted(self.numbers)))
         number = data.draw(st.integers(1, self.numbers[session]))
-        result = self.both(m.Put("again"), session, number)
+        result = self.both(state_machine.Put("again"), session, number)
         if number == self.numbers[session]:
             assert result == self.answers[session, number]
         else:
-            assert isinstance(result, m.Refused)
+            assert isinstance(result, state_machine.Refused)
 
     @precondition(lambda self: self.model)
     @rule(data=st.data())
     def roll_back(self, data: st.DataObject) -> None:
         to = data.draw(st.integers(1, len(self.model)))
-        assert isinstance(self.both(m.RollBack(to)), m.Done)
+        assert isinstance(self.both(state_machine.RollBack(to)), state_machine.Done)
         self.model.append(self.model[to - 1])
 
     @rule()
     def snapshot(self) -> None:
-        restored = m.StateMachine()
+        restored = state_machine.StateMachine()
         restored.restore(self.two.snapshot())
         self.two = restored
 
@@ -278,7 +297,12 @@
 @EXAMPLES
 @given(st.binary(max_size=80))
 def test_malformed_bytes_raise_wire_errors_only(data: bytes) -> None:
-    for reader in (wire.hellos.read, wire.requests.read, wire.responses.read, wire.decode_peer_message):
+    for reader in (
+        wire.hello_decoder.read,
+        wire.request_decoder.read,
+        wire.response_decoder.read,
+        wire.decode_peer_message,
+    ):
         with suppress(wire.WireError):
             reader(data)
 
