--- a/harepick/fleet/limits/verdicts.py
+++ b/harepick/fleet/limits/verdicts.py
@@ -11,7 +11,7 @@
 FAILED, OVERLOADED, BLOCKED, GAPPED = "failed", "overloaded", "blocked", "gapped"
 # Their subjects: a server, a server, a network of callers, a called number.
 KINDS = (FAILED, OVERLOADED, BLOCKED, GAPPED)
-MAX_VERDICTS = 1_024  # in force at once
+MAX_VERDICTS = 1_024  # in effect at once
 MAX_TTL_S = 86_400.0
 MAX_REASON_LENGTH = 500  # characters of a verdict's reason
 
@@ -39,7 +39,7 @@
 
 
 class Verdict(Struct, frozen=True):
-    """A verdict in force; `evidence` and `ttl` in seconds."""
+    """A verdict in effect; `evidence` and `ttl` in seconds."""
 
     id: int
     kind: str
@@ -62,7 +62,7 @@
 
 
 class Verdicts:
-    """The list of verdicts in force; only `apply` changes it."""
+    """The list of verdicts in effect; only `apply` changes it."""
 
     def __init__(self, state: VerdictsState | None = None) -> None:
         state = state or VerdictsState()
@@ -79,7 +79,7 @@
         return list(self._verdicts.values())
 
     def get(self, verdict_id: int) -> Verdict | None:
-        """The verdict with that id, or None if it is not in force."""
+        """The verdict with that id, or None if it is not in effect."""
         return self._verdicts.get(verdict_id)
 
     def subjects(self, *kinds: str) -> frozenset[str]:
@@ -99,20 +99,20 @@
         """
         if isinstance(command, LiftVerdict):
             if self._verdicts.pop(command.verdict, None) is None:
-                return 0, f"no verdict {command.verdict} holds"
+                return 0, f"no verdict {command.verdict} is in effect"
             self.version += 1
             return command.verdict, ""
         if command.kind not in KINDS or not command.subject:
             return 0, f"unknown kind of verdict, or no subject: {command.kind!r}"
         if not 0 < command.ttl <= MAX_TTL_S:
-            return 0, f"a verdict holds for up to {MAX_TTL_S:g} s: {command.ttl!r}"
+            return 0, f"a verdict is in effect for at most {MAX_TTL_S:g} s: {command.ttl!r}"
         identity = (command.kind, command.subject)
         existing = next(
             (verdict for verdict in self._verdicts.values() if (verdict.kind, verdict.subject) == identity),
             None,
         )
         if existing is None and len(self._verdicts) >= MAX_VERDICTS:
-            return 0, f"{MAX_VERDICTS} verdicts hold: lift some first"
+            return 0, f"{MAX_VERDICTS} verdicts are in effect: lift some first"
         if existing is None:
             self._last_id += 1
         self.version += 1
--- a/harepick/fleet/membership/absences.py
+++ b/harepick/fleet/membership/absences.py
@@ -89,7 +89,7 @@
                 f"{command.instance} is {state_before or 'present'}: it does not become {command.state}"
             )
         if current is None and len(self._absent) >= MAX_ABSENT:
-            raise RefusedMemberStateError(f"{MAX_ABSENT} are absent: forget some first")
+            raise RefusedMemberStateError(f"{MAX_ABSENT} members are absent: remove some first")
         self.version += 1
         if command.state == PRESENT:
             del self._absent[command.instance]
