--- a/tests/test_gapping.py
+++ b/tests/test_gapping.py
@@ -102,7 +102,7 @@
     front = EnumProgram(upstream)
     text_without_gap = front.path.read_text()
     front.path.write_text(
-        text_without_gap + '[[gap]]\nid = "radio"\nnumber = "+94111234"\ninterval_s = 1.0\n'
+        text_without_gap + '[[gap]]\nid = "radio"\nnumber = "+94111234"\ninterval_s = 3600\n'
     )
     with front.run() as running:
         client = Client(front.port)
